--- a/src/gateway/control.rs
+++ b/src/gateway/control.rs
@@ -5,6 +5,8 @@
 mod ledger;
 mod link;
 
+pub use link::{Answer, Beat, Question};
+
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
--- a/src/gateway/control/link.rs
+++ b/src/gateway/control/link.rs
@@ -46,11 +46,14 @@
 /// How a router is.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Beat {
-    router: Router,
-    config: u64,
+    /// The router.
+    pub router: Router,
+    /// Version of its configuration.
+    pub config: u64,
     /// Whether it is in contact with the store.
-    in_contact: bool,
-    outstanding: Vec<Outstanding>,
+    pub in_contact: bool,
+    /// What it has at which target.
+    pub outstanding: Vec<Outstanding>,
 }
 
 /// What a router asks of another.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -4,7 +4,7 @@
 //! traffic thread. What a
 //! deployment calls things is the business of its [`Dialect`] and of its [`Store`](crate::store::Store).
 
-mod body;
+pub mod body;
 pub mod control;
 pub mod dialect;
 pub mod escrow;
@@ -26,4 +26,5 @@
 
 pub use dialect::{Ask, BadHeader, Dialect, Listing, Load, Order, Part, Prompt, Told};
 pub use process::{Options, run};
+pub use reply::Reason;
 pub use sse::Events;
