--- a/src/gateway/control/ledger.rs
+++ b/src/gateway/control/ledger.rs
@@ -285,9 +285,21 @@
     let mut own = Vec::new();
     for record in &page.records {
         let Some((customer, router)) = record.key.split_once(SEPARATOR) else {
+            tracing::warn!(event = "row_key_unreadable", key = %record.key);
             continue;
         };
-        let row: Option<Row> = record.value.as_ref().and_then(|value| util::decode(value));
+        let row: Option<Row> = match &record.value {
+            None => None,
+            Some(value) => match util::decode(value) {
+                Some(row) => Some(row),
+                None => {
+                    let bytes = value.len();
+                    tracing::error!(event = "row_unreadable", %customer, %router, bytes);
+                    fleet.set_unreadable_row(customer, router);
+                    continue;
+                }
+            },
+        };
         fleet.set_row(customer, router, row);
         if let Some(row) = row
             && router == me
--- a/src/gateway/escrow.rs
+++ b/src/gateway/escrow.rs
@@ -5,7 +5,7 @@
 //! if nothing else has been written since its writer last read. A router spends only what its row
 //! grants. What a router had when it died stays spent: nobody can tell how much of it was.
 
-use std::collections::HashMap;
+use std::collections::{HashMap, HashSet};
 
 use serde::{Deserialize, Serialize};
 
@@ -48,11 +48,20 @@
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
     rows: HashMap<String, Row>,
+    /// Routers whose newest row could not be decoded.
+    unreadable: HashSet<String>,
 }
 
 impl Ledger {
+    /// Notes that a router's newest row cannot be decoded: it may grant any part of the budget, so
+    /// nothing more is granted until a newer row replaces it.
+    pub fn set_unreadable(&mut self, router: &str) {
+        self.unreadable.insert(router.to_owned());
+    }
+
     /// Takes a row in, as the store has it.
     pub fn set(&mut self, router: &str, row: Option<Row>) {
+        self.unreadable.remove(router);
         match row {
             Some(row) => self.rows.insert(router.to_owned(), row),
             None => self.rows.remove(router),
@@ -272,7 +281,11 @@
         self.adopt(ledger.row(router), incarnation);
         let used = self.used();
         let committed = ledger.committed_by_others(router) + self.closed;
-        let free = prepaid.saturating_sub(committed);
+        let free = if ledger.unreadable.is_empty() {
+            prepaid.saturating_sub(committed)
+        } else {
+            self.granted
+        };
         let left = prepaid.saturating_sub(ledger.spent_by_others(router) + self.closed + used);
         let ahead = self.ahead(ledger, router, left, sizing);
         let unspent = ahead.max(waiting);
--- a/src/gateway/fleet/money.rs
+++ b/src/gateway/fleet/money.rs
@@ -68,6 +68,12 @@
         ledger.set(router, row);
     }
 
+    /// Notes that a router's row in the store cannot be decoded.
+    pub fn set_unreadable_row(&mut self, customer: &str, router: &str) {
+        let ledger = self.ledgers.entry(customer.to_owned()).or_default();
+        ledger.set_unreadable(router);
+    }
+
     /// The rows that are worth writing now, of the customers that `includes` names. `waiting` says
     /// what requests need that wait for a grant. All ledgers must be as of the offset that the rows are written at.
     pub fn rows(
--- a/tests/gateway_store.rs
+++ b/tests/gateway_store.rs
@@ -4,7 +4,7 @@
 
 use deployment::runner::{EVENTS, Mode, Runner};
 use deployment::store::Fault;
-use deployment::{Ask, CUSTOMER, Deployment, ask, config, list, try_ask, until};
+use deployment::{Ask, CUSTOMER, Deployment, KEY, ask, config, list, try_ask, until};
 use serde_json::{Value, json};
 
 const PLENTY: u64 = 1_000_000;
@@ -204,3 +204,33 @@
     );
     assert!(after > 0, "what was not granted can still be spent");
 }
+
+async fn stream(front: std::net::SocketAddr, id: &str, key: &str) -> u16 {
+    let request = Ask::talk(id, "/talk/x", 100, 50).with("authorization", &format!("Bearer {key}"));
+    ask(front, &request).await.status
+}
+
+/// A row that this program cannot read may stand for any part of the budget.
+#[tokio::test(flavor = "multi_thread")]
+async fn unreadable_row() {
+    let engine = Runner::start("i-e").await;
+    let runners = [("engine", &engine)];
+    let mut deployment = Deployment::start(0, &config(1, PLENTY), &runners).await;
+    let row = format!("{CUSTOMER}/g9");
+    let strange = json!("the row of a later program");
+    deployment.store.put("keyed.prepaid", &row, Some(&strange));
+    deployment.add("g0", &["--partitions", "1"]).await;
+    deployment.wait_ready().await;
+    let front = deployment.gateways[0].front;
+    for number in 0..5 {
+        let id = format!("a{number}");
+        assert_eq!(
+            stream(front, &id, KEY).await,
+            503,
+            "nothing is known to be free"
+        );
+    }
+    assert_eq!(engine.runs(), 0);
+    deployment.store.put("keyed.prepaid", &row, None);
+    until(|| async { stream(front, "b", KEY).await == 200 }).await;
+}
