--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -9,7 +9,7 @@
 use super::{Control, ledger};
 use crate::gateway::members::{Router, Source};
 use crate::gateway::target::{Change, View};
-use crate::store::{CallError, Partition, Patience, Record, Topic, TopicPage, hedge};
+use crate::store::{CallError, KEY_MAX, Partition, Patience, Record, Topic, TopicPage, hedge};
 use crate::util;
 
 /// How long a read of the configuration waits for a change.
@@ -114,9 +114,17 @@
     }
     let mut fleet = control.fleet.borrow_mut();
     for customer in config.customers() {
-        if let Some(prepaid) = customer.prepaid {
-            fleet.set_prepaid(&customer.name, prepaid);
+        let Some(prepaid) = customer.prepaid else {
+            continue;
+        };
+        let name = &customer.name;
+        let key_length = ledger::row_key(name, &fleet.members.me.name).len();
+        if key_length > KEY_MAX {
+            // Without rows it has no grants, so its requests are refused.
+            tracing::error!(event = "customer_name_too_long", customer = %name, key_length);
+            continue;
         }
+        fleet.set_prepaid(name, prepaid);
     }
     drop(fleet);
     tracing::info!(
--- a/src/gateway/control/ledger.rs
+++ b/src/gateway/control/ledger.rs
@@ -32,6 +32,11 @@
 /// Separates customer and router in a key.
 const SEPARATOR: char = '/';
 
+/// The key of a router's row of a customer's budget.
+pub(super) fn row_key(customer: &str, router: &str) -> String {
+    format!("{customer}{SEPARATOR}{router}")
+}
+
 /// The partition that has a customer's rows.
 fn number_of(customer: &str, partitions: u32) -> u32 {
     let hash = xxh3_64(customer.as_bytes()) % u64::from(partitions.max(1));
@@ -236,7 +241,7 @@
     let fleet = control.fleet.borrow();
     let name = &fleet.members.me.name;
     let record = |(customer, row): &(String, Row)| Record {
-        key: format!("{customer}{SEPARATOR}{name}"),
+        key: row_key(customer, name),
         value: Some(util::encode(row).into()),
     };
     rows.iter().map(record).collect()
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -11,7 +11,7 @@
 pub use hosts::{HostList, HttpHosts, Listed};
 pub use log::{Appended, Cursor, HttpLog, Log, Page, ReadAnswer, ReadRequest, StreamPage};
 pub use patience::Patience;
-pub use topics::{CallError, Page as TopicPage, Partition, Record, Store, Topic};
+pub use topics::{CallError, KEY_MAX, Page as TopicPage, Partition, Record, Store, Topic};
 
 use snafu::Snafu;
 
--- a/src/store/topics.rs
+++ b/src/store/topics.rs
@@ -9,6 +9,9 @@
 use futures::future::BoxFuture;
 use snafu::Snafu;
 
+/// Longest key of a record, in bytes: the store keeps a key's length in one byte.
+pub const KEY_MAX: usize = 255;
+
 /// Why a call did not do what it should.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
@@ -36,6 +39,12 @@
         /// Where it ends.
         end: u64,
     },
+    /// A record's key is longer than [`KEY_MAX`]; nothing was sent.
+    #[snafu(display("a key of {length} bytes"))]
+    KeyTooLong {
+        /// Its length in bytes.
+        length: usize,
+    },
     /// An answer that makes no sense.
     #[snafu(display("answered {status}"))]
     Refused {
--- a/tests/gateway_store.rs
+++ b/tests/gateway_store.rs
@@ -234,3 +234,27 @@
     deployment.store.put("keyed.prepaid", &row, None);
     until(|| async { stream(front, "b", KEY).await == 200 }).await;
 }
+/// The store's keys have a longest length, and a customer's name is part of one.
+#[tokio::test(flavor = "multi_thread")]
+async fn long_customer_name() {
+    let engine = Runner::start("i-e").await;
+    let runners = [("engine", &engine)];
+    let mut config = config(1, PLENTY);
+    config["tenants"] = json!([
+        { "name": "a".repeat(300), "apiKeys": ["long"], "prepaid": PLENTY },
+        { "name": CUSTOMER, "apiKeys": [KEY], "prepaid": PLENTY },
+    ]);
+    let flags = ["--partitions", "1"];
+    let deployment = Deployment::start_with(1, &config, &runners, &flags).await;
+    let front = deployment.gateways[0].front;
+    until(|| async { stream(front, "a", KEY).await == 200 }).await;
+    for number in 0..5 {
+        let id = format!("b{number}");
+        assert_eq!(
+            stream(front, &id, "long").await,
+            503,
+            "its rows cannot be written"
+        );
+    }
+    assert_eq!(stream(front, "c", KEY).await, 200);
+}
