--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -7,7 +7,7 @@
 use std::alloc::System;
 
 use common::{Arrival, Fleet, Make, Shape};
-use lanedeck::log::Stream;
+use lanedeck::router::log::Stream;
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
 #[global_allocator]
@@ -103,7 +103,7 @@
             targets: 40,
         };
         let fleet = Fleet::new(&make(&size), Vec::new(), |settings| settings);
-        let all = (0..lanedeck::log::SHARDS)
+        let all = (0..lanedeck::router::log::SHARDS)
             .map(|shard| lanedeck::util::encode(fleet.nodes[0].ledger(shard)).len());
         let config = lanedeck::util::encode(fleet.nodes[0].config()).len();
         let name = Stream::Config;
--- a/benches/common/mod.rs
+++ b/benches/common/mod.rs
@@ -6,13 +6,13 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::net::SocketAddr;
 
-use lanedeck::control::{Action, Call, End, Input, Settings, Spec, State, Token};
-use lanedeck::host::Peer;
-use lanedeck::intent::{Change, Class, Customer, Key, Kind, Object, Plan, Target, Terms};
-use lanedeck::log::{Batch, Entry, Incarnation, Record, Stream};
-use lanedeck::request::{Ticket, Verdict};
+use lanedeck::router::control::{Action, Call, End, Input, Settings, Spec, State, Token};
+use lanedeck::router::host::Peer;
+use lanedeck::router::intent::{Change, Class, Customer, Key, Kind, Object, Plan, Target, Terms};
+use lanedeck::router::log::{Batch, Entry, Incarnation, Record, Stream};
+use lanedeck::router::message::{Reply, Request};
+use lanedeck::router::request::{Ticket, Verdict};
 use lanedeck::units::{Millis, Offset, Tokens};
-use lanedeck::wire::{Reply, Request};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -8,10 +8,10 @@
 use std::time::Instant;
 
 use common::{Arrival, Fleet, Make, Shape};
-use lanedeck::control::{Action, End, Input, Spec};
-use lanedeck::intent::{Kind, Target};
-use lanedeck::request::Ticket;
-use lanedeck::target::{Policy, Pool, Want};
+use lanedeck::router::control::{Action, End, Input, Spec};
+use lanedeck::router::intent::{Kind, Target};
+use lanedeck::router::request::Ticket;
+use lanedeck::router::target::{Policy, Pool, Want};
 use lanedeck::units::{Millis, Offset, Tokens};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/benches/money.rs
+++ b/benches/money.rs
@@ -5,9 +5,9 @@
 mod common;
 
 use common::{Arrival, Fleet, Make, Shape};
-use lanedeck::budget::Sizing;
-use lanedeck::log::Stream;
-use lanedeck::request::{Reason, Verdict};
+use lanedeck::router::budget::Sizing;
+use lanedeck::router::log::Stream;
+use lanedeck::router::request::{Reason, Verdict};
 use lanedeck::units::{Millis, Tokens};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/benches/policies.rs
+++ b/benches/policies.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use common::{Arrival, Fleet, Make, Shape, at};
-use lanedeck::request::Verdict;
-use lanedeck::target::Policy;
+use lanedeck::router::request::Verdict;
+use lanedeck::router::target::Policy;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
--- a/src/cmd/burn.rs
+++ b/src/cmd/burn.rs
@@ -4,7 +4,7 @@
 
 use super::client::{Client, addresses};
 use super::{Error, Result, block_on, print, usage};
-use crate::report::{Series, burn, page};
+use crate::router::report::{Series, burn, page};
 
 pub const ABOUT: &str = "Asks routers for their series, merges them, and reports for each customer,
 class and model: requests, first token and between-token p50/p95/p99, refusals by reason, and burn
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -12,13 +12,13 @@
 use super::client::Client;
 use super::router::{self, bind};
 use super::{Error, Result, block_on, failed, print, start_logs};
-use crate::http::{BILLED, BUDGET, REASON, VERDICT};
+use crate::router::client::Listed;
+use crate::router::http::{BILLED, BUDGET, REASON, VERDICT};
 use crate::standin::engine::{Engine, Shape};
 use crate::standin::hosts::Hosts;
 use crate::standin::log::Log;
 use crate::standin::serve;
 use crate::standin::service::Service;
-use crate::store::Listed;
 use crate::util::hash_secret;
 
 pub const ABOUT: &str = "Runs a log, a host list, two engines, a service and three routers on
--- a/src/cmd/load/caller.rs
+++ b/src/cmd/load/caller.rs
@@ -14,9 +14,9 @@
 
 use crate::cmd::Result;
 use crate::cmd::client::Client;
-use crate::http::caller::Entry;
-use crate::http::chat::{self, Frame};
-use crate::http::{BILLED, BUDGET, CLASS, REASON, REPEATABLE, REQUEST_ID, VERDICT};
+use crate::router::http::caller::Entry;
+use crate::router::http::chat::{self, Frame};
+use crate::router::http::{BILLED, BUDGET, CLASS, REASON, REPEATABLE, REQUEST_ID, VERDICT};
 use crate::standin::engine::word;
 use crate::standin::service::{Receipt, receipt};
 
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -9,13 +9,13 @@
 
 use super::settings::Checker;
 use super::{Error, Result, block_on, print, start_logs};
-use crate::budget::Sizing;
-use crate::control::Settings;
-use crate::host::Peer;
-use crate::log::Incarnation;
-use crate::request::Bound;
 use crate::router;
-use crate::store::{HttpHosts, HttpLog};
+use crate::router::budget::Sizing;
+use crate::router::client::{HttpHosts, HttpLog};
+use crate::router::control::Settings;
+use crate::router::host::Peer;
+use crate::router::log::Incarnation;
+use crate::router::request::Bound;
 use crate::units::{Millis, Offset};
 
 pub const ABOUT: &str = "Runs a router on an entry host until SIGTERM, and then until all that it
--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -9,7 +9,7 @@
 use super::{Control, ledger};
 use crate::gateway::members::{Router, Source};
 use crate::gateway::target::{Change, View};
-use crate::store::{CallError, KEY_MAX, Partition, Patience, Record, Topic, TopicPage, hedge};
+use crate::store::{CallError, KEY_MAX, Page, Partition, Patience, Record, Topic, hedge};
 use crate::util;
 
 /// How long a read of the configuration waits for a change.
@@ -32,9 +32,9 @@
 /// What a read brought.
 enum Step {
     /// The newest record of every key.
-    Whole(TopicPage),
+    Whole(Page),
     /// What has changed.
-    Changes(TopicPage),
+    Changes(Page),
 }
 
 impl Follower {
@@ -191,7 +191,7 @@
 
 /// Takes a whole list in. Targets that it lacks are taken off if `drop_absent`; whether none was
 /// left on for that is returned.
-fn whole_list(control: &Control, page: &TopicPage, drop_absent: bool) -> bool {
+fn whole_list(control: &Control, page: &Page, drop_absent: bool) -> bool {
     for record in &page.records {
         take_target(control, record);
     }
--- a/src/gateway/control/ledger.rs
+++ b/src/gateway/control/ledger.rs
@@ -14,7 +14,7 @@
 
 use super::{Control, borrow_for_waiting, link, retry_waiting, waiting};
 use crate::gateway::escrow::Row;
-use crate::store::{CallError, Partition, Patience, Record, Topic, TopicPage, hedge};
+use crate::store::{CallError, Page, Partition, Patience, Record, Topic, hedge};
 use crate::util;
 
 /// Between two looks while nobody waits.
@@ -283,7 +283,7 @@
     }
 }
 
-fn take(control: &Control, shard: &mut Shard, page: &TopicPage) {
+fn take(control: &Control, shard: &mut Shard, page: &Page) {
     let mut fleet = control.fleet.borrow_mut();
     let me = fleet.members.me.name.clone();
     let incarnation = fleet.incarnation();
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::route::Config;
+use crate::gateway::route::Config;
 use crate::units::{Millis, Tokens};
 
 /// A shared part of a prompt.
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -21,9 +21,9 @@
 use super::shared::Active;
 use super::stream::Flow;
 use super::ticket::Ticket;
+use crate::gateway::route::{Config, Kind, Route};
+use crate::health::Outcome;
 use crate::net::{self, Line};
-use crate::route::{Config, Kind, Route};
-use crate::target::Outcome;
 use crate::units::Millis;
 
 /// Targets that are tried in vain, without a connection, before a request is given up.
--- a/src/gateway/failure.rs
+++ b/src/gateway/failure.rs
@@ -4,7 +4,7 @@
 use super::fleet::Arrival;
 use super::reply::Reason;
 use super::ticket::Ticket;
-use crate::target::Outcome;
+use crate::health::Outcome;
 
 /// Whether a try may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/gateway/fleet.rs
+++ b/src/gateway/fleet.rs
@@ -14,7 +14,7 @@
 use super::members::{Members, Router};
 use super::retry::{self, Budget};
 use super::target::{Key, Targets};
-use crate::target::Outcome;
+use crate::health::Outcome;
 use crate::units::{Millis, Tokens};
 
 /// Settings of the control state.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -18,6 +18,7 @@
 mod relay;
 mod reply;
 pub mod retry;
+pub mod route;
 pub mod shared;
 mod sse;
 mod stream;
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 
 use super::metrics::Metrics;
-use crate::route::Config;
+use crate::gateway::route::Config;
 use crate::store::{CallError, Topic};
 
 /// The state that both sides see.
--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::dialect::{Listing, Load, Part, Prompt};
-use crate::target::{Health, Outcome};
+use crate::health::{Health, Outcome};
 use crate::units::Millis;
 
 /// A target; keys are not used again within a process.
--- a/src/gateway/ticket.rs
+++ b/src/gateway/ticket.rs
@@ -7,7 +7,7 @@
 use super::control::Message;
 use super::dialect::Load;
 use super::fleet::{Arrival, Ending, Go, Handed, Job, Refusal};
-use crate::target::Outcome;
+use crate::health::Outcome;
 use crate::units::Tokens;
 
 /// Asks the control state.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,28 +1,20 @@
 //! lanedeck: a router fleet for prepaid token budgets.
 //!
 //! A router decides for each request whether it may run, at what priority and on which target,
-//! and never lets spend pass what was prepaid. Decisions are pure code ([`control`], and the
-//! aggregates in [`budget`], [`request`], [`target`], [`host`], [`intent`]); sockets, clocks and
-//! randomness stay at the edge ([`http`], [`wire`], [`store`]).
+//! and never lets spend pass what was prepaid. There are two front doors, which share the modules
+//! below them and nothing else: [`gateway`] serves callers of a deployment in its own dialect and
+//! keeps what lasts in the deployment's store; [`router`] serves the product's own interface over a
+//! log service. Both use [`net`], [`wire`], [`health`], [`units`] and [`util`].
 
 #![warn(clippy::unwrap_used)]
 
-pub mod budget;
 pub mod cmd;
-pub mod control;
 pub mod gateway;
-pub mod host;
-pub mod http;
-pub mod intent;
-pub mod log;
+pub mod health;
 pub mod net;
-pub mod report;
-pub mod request;
-pub mod route;
 pub mod router;
 pub mod standin;
 pub mod store;
-pub mod target;
 pub mod units;
 pub mod util;
 pub mod wire;
--- a/src/budget/holder.rs
+++ b/src/router/budget/holder.rs
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 
 use super::{BudgetKey, Demand, Grant, Sizing, Violation};
-use crate::log::Incarnation;
-use crate::request::Id;
+use crate::router::log::Incarnation;
+use crate::router::request::Id;
 use crate::units::{Millis, Tokens};
 
 /// A reservation failed; the holder lacks this much.
@@ -231,7 +231,7 @@
     pub fn prune(&mut self, epoch: u32) {
         for account in self.accounts.values_mut() {
             account.entries.retain(|nonce, entry| {
-                matches!(entry, Entry::Open(_)) || crate::request::epoch_of(*nonce) >= epoch
+                matches!(entry, Entry::Open(_)) || crate::router::request::epoch_of(*nonce) >= epoch
             });
         }
     }
--- a/src/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -8,9 +8,9 @@
 use serde::{Deserialize, Serialize};
 
 use super::{BudgetKey, Sequence, Violation};
-use crate::intent::{Change, Outcome, Outcomes, Plan, Refused, Terms};
-use crate::log::{Closed, Fold, Incarnation, Record};
-use crate::request::Id;
+use crate::router::intent::{Change, Outcome, Outcomes, Plan, Refused, Terms};
+use crate::router::log::{Closed, Fold, Incarnation, Record};
+use crate::router::request::Id;
 use crate::units::{Offset, Tokens};
 
 /// Most tokens that a budget may be given, so that sums cannot overflow.
--- a/src/budget/mod.rs
+++ b/src/router/budget/mod.rs
@@ -24,7 +24,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::log::Stream;
+use crate::router::log::Stream;
 
 /// A budget's place in its shard's ledger; the same in every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/src/budget/pledge.rs
+++ b/src/router/budget/pledge.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::request::Id;
+use crate::router::request::Id;
 use crate::units::Tokens;
 
 /// How a request is billed.
--- a/src/budget/violation.rs
+++ b/src/router/budget/violation.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-use crate::log::Incarnation;
-use crate::request::Id;
+use crate::router::log::Incarnation;
+use crate::router::request::Id;
 use crate::units::{Offset, Tokens};
 
 /// A broken promise; logged as one event, after which what it touches is no longer served.
--- a/src/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -10,8 +10,8 @@
 use serde::{Deserialize, Serialize};
 
 use super::{BudgetKey, Pledge};
-use crate::log::{Closed, Incarnation, Open};
-use crate::request::{EPOCH_KEEP, Id, epoch_of};
+use crate::router::log::{Closed, Incarnation, Open};
+use crate::router::request::{EPOCH_KEEP, Id, epoch_of};
 use crate::units::{Millis, Tokens};
 
 /// A closed ward is kept for this long, for retries of its requests.
--- a/src/store/log.rs
+++ b/src/router/client/log.rs
@@ -10,7 +10,7 @@
 use snafu::ResultExt;
 
 use super::{CallSnafu, Client, Error, client, json};
-use crate::log::{Batch, Stream};
+use crate::router::log::{Batch, Stream};
 use crate::units::{Millis, Offset};
 
 const SERVICE: &str = "log";
--- a/src/control/action.rs
+++ b/src/router/control/action.rs
@@ -5,13 +5,13 @@
 
 use serde::Serialize;
 
-use crate::budget::{BudgetKey, Violation};
-use crate::intent::{Config, Error, Intent, Kind, Outcome, Plan, Proposal};
-use crate::log::{Batch, Incarnation, Stream};
-use crate::request::{Id, Prefix, Ticket, Verdict};
-use crate::target::Choice;
+use crate::router::budget::{BudgetKey, Violation};
+use crate::router::intent::{Config, Error, Intent, Kind, Outcome, Plan, Proposal};
+use crate::router::log::{Batch, Incarnation, Stream};
+use crate::router::message::{Reply, Request};
+use crate::router::request::{Id, Prefix, Ticket, Verdict};
+use crate::router::target::Choice;
 use crate::units::{Millis, Offset, Tokens};
-use crate::wire::{Reply, Request};
 
 /// Ties an answer to the peer or operator that waits for it.
 pub type Token = u64;
--- a/src/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -3,12 +3,12 @@
 use super::job::{Job, Stage};
 use super::state::Asked;
 use super::{Action, Spec, State};
-use crate::budget::{BudgetKey, Taken};
-use crate::intent::Kind;
-use crate::log::{Incarnation, Stream};
-use crate::request::{EPOCH_KEEP, Found, Reason, Ticket, Verdict, Waiting};
+use crate::router::budget::{BudgetKey, Taken};
+use crate::router::intent::Kind;
+use crate::router::log::{Incarnation, Stream};
+use crate::router::message::Request;
+use crate::router::request::{EPOCH_KEEP, Found, Reason, Ticket, Verdict, Waiting};
 use crate::units::{Millis, Tokens};
-use crate::wire::Request;
 
 impl State {
     pub(super) fn arrive(&mut self, spec: Spec) {
@@ -166,7 +166,7 @@
         let bound = self.settings.bound;
         let queue = self.queues.entry(group.clone());
         let shed = queue
-            .or_insert_with(|| crate::request::Queue::new(bound))
+            .or_insert_with(|| crate::router::request::Queue::new(bound))
             .push(waiting);
         if let Some(shed) = shed {
             self.refuse(shed.ticket, Reason::Overloaded);
--- a/src/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -2,11 +2,12 @@
 
 use super::job::{Job, Settling, Stage};
 use super::{Action, End, State};
-use crate::intent::Kind;
-use crate::request::{Id, Reason, Ticket, Verdict, Waiting};
-use crate::target::{Choice, Outcome, Want};
+use crate::health::Outcome;
+use crate::router::intent::Kind;
+use crate::router::message::Ask;
+use crate::router::request::{Id, Reason, Ticket, Verdict, Waiting};
+use crate::router::target::{Choice, Want};
 use crate::units::{Millis, Tokens};
-use crate::wire::Ask;
 
 /// Dispatches of one request, at most.
 const ATTEMPTS_MAX: u32 = 3;
@@ -369,7 +370,7 @@
             self.refuse(ticket, Reason::WitnessUnavailable);
         }
         for ticket in unjudged {
-            self.judged(ticket, crate::budget::Taken::Unknown);
+            self.judged(ticket, crate::router::budget::Taken::Unknown);
         }
         let settling = self.settling.values_mut().chain(self.late.values_mut());
         let waited = settling.filter(|one| now > one.since + VERDICT_WAIT);
@@ -381,7 +382,7 @@
 }
 
 fn choose<R: rand::Rng>(
-    pool: &crate::target::Pool,
+    pool: &crate::router::target::Pool,
     now: Millis,
     job: &Job,
     rng: &mut R,
--- a/src/control/job.rs
+++ b/src/router/control/job.rs
@@ -1,12 +1,12 @@
 //! One request on its way.
 
-use crate::budget::{BudgetKey, Pledge, Price};
-use crate::intent::Kind;
-use crate::log::Incarnation;
-use crate::request::{Ticket, Verdict};
-use crate::target::{Choice, TargetKey};
+use crate::router::budget::{BudgetKey, Pledge, Price};
+use crate::router::intent::Kind;
+use crate::router::log::Incarnation;
+use crate::router::message::Ask;
+use crate::router::request::{Ticket, Verdict};
+use crate::router::target::{Choice, TargetKey};
 use crate::units::{Millis, Tokens};
-use crate::wire::Ask;
 
 use super::Spec;
 
--- a/src/control/link.rs
+++ b/src/router/control/link.rs
@@ -2,9 +2,9 @@
 
 use std::collections::VecDeque;
 
-use crate::log::Incarnation;
+use crate::router::log::Incarnation;
+use crate::router::message::{Ask, Request};
 use crate::units::Millis;
-use crate::wire::{Ask, Request};
 
 use super::Call;
 
--- a/src/control/money.rs
+++ b/src/router/control/money.rs
@@ -1,9 +1,9 @@
 //! Asking for grants, giving them back, and writing down what was spent.
 
 use super::State;
-use crate::budget::BudgetKey;
-use crate::log::{Record, Stream};
-use crate::request::{Reason, Ticket};
+use crate::router::budget::BudgetKey;
+use crate::router::log::{Record, Stream};
+use crate::router::request::{Reason, Ticket};
 use crate::units::{Millis, Tokens};
 
 /// Time between two rounds of settlement records, in a small fleet.
--- a/src/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -5,9 +5,9 @@
 use super::action::{StatusBudget, Token};
 use super::state::Confirming;
 use super::{Action, State, Status, StatusPeer};
-use crate::budget::{Budget, BudgetKey};
-use crate::intent::{self, Intent, Outcome, Plan, World};
-use crate::log::{Record, SHARDS, Stream};
+use crate::router::budget::{Budget, BudgetKey};
+use crate::router::intent::{self, Intent, Outcome, Plan, World};
+use crate::router::log::{Record, SHARDS, Stream};
 use crate::units::Millis;
 
 /// A confirm that is not read back within this is answered so; it may be repeated.
@@ -93,7 +93,7 @@
             .flat_map(|queue| queue.iter().copied())
             .collect();
         for waiting in queued {
-            self.refuse(waiting.ticket, crate::request::Reason::Stopping);
+            self.refuse(waiting.ticket, crate::router::request::Reason::Stopping);
         }
         self.last_beat = Millis::ZERO;
         self.beat();
@@ -112,7 +112,12 @@
         if self.settling.is_empty() {
             self.write_leave();
         }
-        if !patient || self.writers.values().all(crate::log::Writer::is_empty) {
+        if !patient
+            || self
+                .writers
+                .values()
+                .all(crate::router::log::Writer::is_empty)
+        {
             self.exited = true;
             self.out.push(Action::Exit);
         }
@@ -120,7 +125,7 @@
 
     pub(super) fn status(&mut self, token: Token) {
         let me = self.membership.me();
-        let hex = |one: crate::log::Incarnation| one.to_string();
+        let hex = |one: crate::router::log::Incarnation| one.to_string();
         let peers = self.membership.peers(self.now);
         let peers = peers.into_iter().map(|(peer, standing)| StatusPeer {
             entry: peer.entry,
@@ -140,7 +145,11 @@
             witness: me.witness.map(hex),
             wards: self.witness.wards(),
             applied: applied.collect(),
-            waiting: self.queues.values().map(crate::request::Queue::len).sum(),
+            waiting: self
+                .queues
+                .values()
+                .map(crate::router::request::Queue::len)
+                .sum(),
             jobs: self.jobs.len(),
             violations: self.violations,
             peers: peers.collect(),
--- a/src/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -3,12 +3,12 @@
 use super::action::Token;
 use super::state::Asked;
 use super::{Action, Call, State};
-use crate::budget::{Answer, Replay, Taken};
-use crate::host::Peer;
-use crate::log::{Incarnation, Record, SHARDS, Stream};
-use crate::request::{EPOCH_KEEP, Id, Prefix};
+use crate::router::budget::{Answer, Replay, Taken};
+use crate::router::host::Peer;
+use crate::router::log::{Incarnation, Record, SHARDS, Stream};
+use crate::router::message::{Ask, Reply, Request};
+use crate::router::request::{EPOCH_KEEP, Id, Prefix};
 use crate::units::{Millis, Tokens};
-use crate::wire::{Ask, Reply, Request};
 
 /// Time between two rounds of heartbeats.
 const BEAT_EVERY: Millis = Millis(1_000);
@@ -259,8 +259,8 @@
         }
     }
 
-    fn write_resolve(&mut self, resolved: crate::budget::Resolved) {
-        let crate::budget::Resolved { id, budget, billed } = resolved;
+    fn write_resolve(&mut self, resolved: crate::router::budget::Resolved) {
+        let crate::router::budget::Resolved { id, budget, billed } = resolved;
         let ledger = self.ledger(budget.shard);
         if !ledger.sequence().is_gone(id.incarnation) {
             return;
--- a/src/control/state.rs
+++ b/src/router/control/state.rs
@@ -9,12 +9,14 @@
 use super::job::{Job, Settling};
 use super::link::Link;
 use super::{Action, Call, Input, Token};
-use crate::budget::{BudgetKey, Grant, Holder, Ledger, Sizing, Violation, Witness};
-use crate::host::{Membership, Peer};
-use crate::intent::{Config, Kind, Plan};
-use crate::log::{Checkpoint, Follower, Incarnation, Stream, Writer};
-use crate::request::{Bound, EPOCH_LENGTH, Id, Prefix, Queue, Reason, Table, Ticket, Verdict};
-use crate::target::{Policy, Pool};
+use crate::router::budget::{BudgetKey, Grant, Holder, Ledger, Sizing, Violation, Witness};
+use crate::router::host::{Membership, Peer};
+use crate::router::intent::{Config, Kind, Plan};
+use crate::router::log::{Checkpoint, Follower, Incarnation, Stream, Writer};
+use crate::router::request::{
+    Bound, EPOCH_LENGTH, Id, Prefix, Queue, Reason, Table, Ticket, Verdict,
+};
+use crate::router::target::{Policy, Pool};
 use crate::units::{Millis, Offset};
 
 /// Numbers in our books of requests that were taken over start here. Those of callers are below
@@ -168,7 +170,7 @@
             now,
             out: Vec::new(),
             config: Follower::default(),
-            ledgers: (0..crate::log::SHARDS)
+            ledgers: (0..crate::router::log::SHARDS)
                 .map(|_| Follower::default())
                 .collect(),
             writers: Stream::all()
@@ -363,7 +365,7 @@
         &mut self,
         to: std::net::SocketAddr,
         asked: Asked,
-        request: crate::wire::Request,
+        request: crate::router::message::Request,
     ) {
         let call = self.next_call;
         self.next_call += 1;
--- a/src/control/vouch.rs
+++ b/src/router/control/vouch.rs
@@ -6,11 +6,11 @@
 use super::link::Link;
 use super::state::{Asked, LinkKey};
 use super::{Action, State};
-use crate::budget::{Answer, Holder, Ward};
-use crate::log::{Incarnation, Record, SHARDS, Stream, Writer};
-use crate::request::{Id, Ticket, Verdict};
+use crate::router::budget::{Answer, Holder, Ward};
+use crate::router::log::{Incarnation, Record, SHARDS, Stream, Writer};
+use crate::router::message::{Ask, Reply};
+use crate::router::request::{Id, Ticket, Verdict};
 use crate::units::{Millis, Tokens};
-use crate::wire::{Ask, Reply};
 
 /// A witness that has not answered for this long is replaced.
 const SILENT: Millis = Millis(1_000);
@@ -86,7 +86,7 @@
     fn change_witness(&mut self, old: Option<Incarnation>) {
         let me = self.incarnation();
         let recently =
-            |peer: &&crate::host::Peer| !self.links.contains_key(&(me, peer.incarnation));
+            |peer: &&crate::router::host::Peer| !self.links.contains_key(&(me, peer.incarnation));
         let chosen = self.membership.witness(self.now, recently);
         let chosen = chosen.map(|peer| peer.incarnation);
         if chosen.is_none() && old.is_none() {
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -8,7 +8,7 @@
 
 use super::Shared;
 use super::edge::Edge;
-use crate::control::{Action, Input, Settings, State};
+use crate::router::control::{Action, Input, Settings, State};
 use crate::units::Millis;
 
 /// Time between two ticks.
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -6,12 +6,12 @@
 use tokio::runtime::Handle;
 
 use super::Shared;
-use crate::control::{Action, Input};
-use crate::http::answer::{Answer, Work};
-use crate::http::relay::{Order, Relay};
-use crate::report::Key;
-use crate::request::{Ticket, Verdict};
-use crate::store::Log;
+use crate::router::client::Log;
+use crate::router::control::{Action, Input};
+use crate::router::http::answer::{Answer, Work};
+use crate::router::http::relay::{Order, Relay};
+use crate::router::report::Key;
+use crate::router::request::{Ticket, Verdict};
 use crate::units::Tokens;
 use crate::wire;
 
@@ -99,7 +99,7 @@
         }
     }
 
-    fn append(&self, stream: crate::log::Stream, batch: crate::log::Batch) {
+    fn append(&self, stream: crate::router::log::Stream, batch: crate::router::log::Batch) {
         let shared = Arc::clone(&self.shared);
         let log = shared.log.clone();
         self.traffic.spawn(async move {
@@ -183,7 +183,7 @@
         match self.shared.answers.get(to) {
             Some(first) => answer.join(first),
             None => answer.end(Verdict::MayHaveRun {
-                reason: crate::request::Reason::Expired,
+                reason: crate::router::request::Reason::Expired,
             }),
         }
     }
@@ -197,7 +197,12 @@
     }
 }
 
-async fn run(relay: &Relay, shared: &Shared, answer: &Answer, order: Order) -> crate::control::End {
+async fn run(
+    relay: &Relay,
+    shared: &Shared,
+    answer: &Answer,
+    order: Order,
+) -> crate::router::control::End {
     let key = key(answer);
     let seen = |_index| {
         let at = u64::try_from(answer.about.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use super::Shared;
-use crate::control::Input;
-use crate::http::relay::Relay;
-use crate::log::Stream;
-use crate::store::{Cursor, HostList, Log, Page};
+use crate::router::client::{Cursor, HostList, Log, Page};
+use crate::router::control::Input;
+use crate::router::http::relay::Relay;
+use crate::router::log::Stream;
 use crate::units::{Millis, Offset};
 
 /// Longest wait of a read for something new.
@@ -103,7 +103,7 @@
     });
 }
 
-async fn retry(shared: &Shared, error: &crate::store::Error) {
+async fn retry(shared: &Shared, error: &crate::router::client::Error) {
     tracing::warn!(event = "log_read_failed", %error);
     shared.tell(Input::LogUp(false));
     tokio::time::sleep(READ_AGAIN).await;
--- a/src/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -9,8 +9,8 @@
 use tokio::sync::watch;
 
 use super::chat::{Call, Frame};
-use crate::report::Watch;
-use crate::request::{Id, Ticket, Verdict};
+use crate::router::report::Watch;
+use crate::router::request::{Id, Ticket, Verdict};
 
 /// What is sent to the target.
 #[derive(Clone, Debug)]
--- a/src/http/caller.rs
+++ b/src/router/http/caller.rs
@@ -20,10 +20,10 @@
 use super::relay::kind;
 use super::reply::Wrong;
 use super::{BUDGET, CLASS, REPEATABLE, REQUEST_ID, chat, reply};
-use crate::control::Spec;
-use crate::request::{Id, Verdict};
 use crate::router::Shared;
-use crate::target::blocks;
+use crate::router::control::Spec;
+use crate::router::request::{Id, Verdict};
+use crate::router::target::blocks;
 use crate::units::Tokens;
 use crate::util::{is_name, secret_matches};
 
--- a/src/http/operator.rs
+++ b/src/router/http/operator.rs
@@ -10,9 +10,9 @@
 
 use super::reply;
 use super::reply::Wrong;
-use crate::control::{Action, Input};
-use crate::intent::{Intent, Outcome, Plan, Refused};
 use crate::router::Shared;
+use crate::router::control::{Action, Input};
+use crate::router::intent::{Intent, Outcome, Plan, Refused};
 use crate::util::secret_matches;
 
 /// Name in an operator's key, before the colon.
--- a/src/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -16,10 +16,10 @@
 use super::answer::{Answer, Whole, Work};
 use super::chat::Frame;
 use super::{ATTEMPT, FENCE, RANK, REQUEST_ID, VERDICT};
-use crate::control::End;
-use crate::intent::Kind;
-use crate::request::Id;
-use crate::target::Choice;
+use crate::router::control::End;
+use crate::router::intent::Kind;
+use crate::router::request::Id;
+use crate::router::target::Choice;
 use crate::units::{Millis, Tokens};
 
 /// Times in a row that a broken stream is resumed without anything new.
--- a/src/http/reply.rs
+++ b/src/router/http/reply.rs
@@ -8,7 +8,7 @@
 use volo_http::response::Response;
 
 use super::{BILLED, REASON, REQUEST_ID, VERDICT};
-use crate::request::{Id, Reason, Verdict};
+use crate::router::request::{Id, Reason, Verdict};
 use crate::units::Millis;
 
 /// When to come back after a request that may have run, with the same id.
--- a/src/intent/ask.rs
+++ b/src/router/intent/ask.rs
@@ -4,8 +4,8 @@
 use snafu::Snafu;
 
 use super::{Change, Class, Config, Key, Object, Plan, PlanId, Target, Terms};
-use crate::budget::{Budget, BudgetKey, Ledger, PREPAID_MAX};
-use crate::log::{Incarnation, Stream};
+use crate::router::budget::{Budget, BudgetKey, Ledger, PREPAID_MAX};
+use crate::router::log::{Incarnation, Stream};
 use crate::units::{Offset, Tokens};
 use crate::util::is_name;
 
--- a/src/intent/config.rs
+++ b/src/router/intent/config.rs
@@ -7,8 +7,8 @@
 use super::{
     Change, Class, Customer, Key, Kind, Object, Objective, Outcome, Outcomes, Plan, Refused, Target,
 };
-use crate::budget::{Sequence, Violation};
-use crate::log::{Fold, Incarnation, Record};
+use crate::router::budget::{Sequence, Violation};
+use crate::router::log::{Fold, Incarnation, Record};
 use crate::units::Offset;
 
 /// An object with its version.
--- a/src/log/follower.rs
+++ b/src/router/log/follower.rs
@@ -4,7 +4,7 @@
 use serde::de::DeserializeOwned;
 
 use super::{Batch, Checkpoint, Incarnation, Record, digest};
-use crate::budget::Violation;
+use crate::router::budget::Violation;
 use crate::units::Offset;
 use crate::util::{decode, encode};
 
--- a/src/log/record.rs
+++ b/src/router/log/record.rs
@@ -7,8 +7,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::SHARDS;
-use crate::budget::BudgetKey;
-use crate::intent::Plan;
+use crate::router::budget::BudgetKey;
+use crate::router::intent::Plan;
 use crate::units::{Offset, Tokens};
 
 /// One run of one router process; a new one is drawn at random at each start and after a close.
--- a/src/wire/frame.rs
+++ b/src/router/message.rs
@@ -2,10 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::budget::{Answer, BudgetKey, Pledge, Taken, Ward};
-use crate::host::Peer;
-use crate::log::{Checkpoint, Incarnation, Stream};
-use crate::request::Id;
+use crate::router::budget::{Answer, BudgetKey, Pledge, Taken, Ward};
+use crate::router::host::Peer;
+use crate::router::log::{Checkpoint, Incarnation, Stream};
+use crate::router::request::Id;
 use crate::units::Tokens;
 
 /// What a holder asks of its witness.
--- a/src/report/burn.rs
+++ b/src/router/report/burn.rs
@@ -10,7 +10,7 @@
 use serde::Serialize;
 
 use super::metrics::{Key, MINUTES, Minute, Series, decode};
-use crate::intent::Objective;
+use crate::router::intent::Objective;
 
 /// Minutes of the short window.
 pub const SHORT: u64 = 5;
--- a/src/report/metrics.rs
+++ b/src/router/report/metrics.rs
@@ -10,8 +10,8 @@
 use hdrhistogram::serialization::{Deserializer, Serializer, V2Serializer};
 use serde::{Deserialize, Serialize};
 
-use crate::intent::Objective;
-use crate::request::{Reason, Verdict};
+use crate::router::intent::Objective;
+use crate::router::request::{Reason, Verdict};
 
 /// Longest latency told apart, in milliseconds.
 const LATENCY_MAX: u64 = 600_000;
--- a/src/report/trail.rs
+++ b/src/router/report/trail.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::request::Id;
+use crate::router::request::Id;
 
 /// Requests remembered.
 const KEPT: usize = 4_096;
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -10,15 +10,15 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::Options;
-use crate::control::{Action, Input, Spec, Token};
-use crate::http::answer::{Answer, Answers};
-use crate::http::caller::Use;
-use crate::intent::Config;
-use crate::log::Incarnation;
-use crate::report::{Metrics, Trail};
-use crate::request::{Id, Prefix, Ticket};
-use crate::store::HttpLog;
-use crate::wire::{Reply, Request};
+use crate::router::client::HttpLog;
+use crate::router::control::{Action, Input, Spec, Token};
+use crate::router::http::answer::{Answer, Answers};
+use crate::router::http::caller::Use;
+use crate::router::intent::Config;
+use crate::router::log::Incarnation;
+use crate::router::message::{Reply, Request};
+use crate::router::report::{Metrics, Trail};
+use crate::router::request::{Id, Prefix, Ticket};
 
 /// Numbers of requests that came without an id: between callers' and those of takeovers.
 const NUMBERS: std::ops::Range<u32> = 1 << 31..3 << 30;
--- a/src/target/mod.rs
+++ b/src/router/target/mod.rs
@@ -1,12 +1,11 @@
 //! Targets: which there are, how loaded and healthy each is, and which one a request goes to.
 
 mod cache;
-mod health;
 mod policy;
 mod pool;
 
 pub use cache::{BLOCK, View, blocks};
-pub use health::{Health, Outcome};
+
 pub use policy::{Candidate, Policy};
 pub use pool::{Choice, Member, Pool, Want};
 
--- a/src/target/pool.rs
+++ b/src/router/target/pool.rs
@@ -5,8 +5,9 @@
 
 use rand::Rng;
 
-use super::{Candidate, Health, Outcome, Policy, TargetKey, View};
-use crate::intent::{Kind, Target};
+use super::{Candidate, Policy, TargetKey, View};
+use crate::health::{Health, Outcome};
+use crate::router::intent::{Kind, Target};
 use crate::units::{Millis, Offset};
 
 /// Share of a group that may be ejected at most, in percent: the floor under ejection.
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -24,10 +24,10 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{empty, json, lock, set_faults};
-use crate::http::Headers;
-use crate::http::chat;
-use crate::http::relay::{Fate, Load};
-use crate::target::blocks;
+use crate::router::http::Headers;
+use crate::router::http::chat;
+use crate::router::http::relay::{Fate, Load};
+use crate::router::target::blocks;
 
 /// Speed and size of an engine.
 #[derive(Clone, Copy, Debug)]
@@ -343,7 +343,9 @@
 pub(super) fn not_run() -> Response {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     let value = http::HeaderValue::from_static("not_run");
-    response.headers_mut().insert(crate::http::VERDICT, value);
+    response
+        .headers_mut()
+        .insert(crate::router::http::VERDICT, value);
     response
 }
 
@@ -359,11 +361,11 @@
     pub fn read(headers: &HeaderMap) -> Result<Self, String> {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|text| text.parse::<u64>().ok());
-        let id = text(crate::http::REQUEST_ID).ok_or("no request id")?;
+        let id = text(crate::router::http::REQUEST_ID).ok_or("no request id")?;
         Ok(Self {
             id: id.to_owned(),
-            attempt: number(crate::http::ATTEMPT).unwrap_or(1) as u32,
-            fence: number(crate::http::FENCE),
+            attempt: number(crate::router::http::ATTEMPT).unwrap_or(1) as u32,
+            fence: number(crate::router::http::FENCE),
         })
     }
 }
--- a/src/standin/hosts.rs
+++ b/src/standin/hosts.rs
@@ -11,7 +11,7 @@
 use volo_http::server::route::{get, post};
 
 use super::{empty, json, lock, set_faults};
-use crate::store::Listed;
+use crate::router::client::Listed;
 
 /// Faults of the host list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -17,7 +17,7 @@
 use volo_http::server::route::{get, post};
 
 use super::{empty, json, lock, set_faults};
-use crate::store::{Appended, ReadAnswer, ReadRequest, StreamPage};
+use crate::router::client::{Appended, ReadAnswer, ReadRequest, StreamPage};
 
 /// Records in one answer for one stream.
 const PAGE: usize = 2_000;
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -15,8 +15,8 @@
 
 use super::engine::{Order, not_run};
 use super::{empty, json, lock, set_faults};
-use crate::http::Headers;
-use crate::http::relay::{Fate, Load};
+use crate::router::http::Headers;
+use crate::router::http::relay::{Fate, Load};
 
 /// Faults of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -112,7 +112,7 @@
         if let Ok(value) = value {
             response
                 .headers_mut()
-                .insert(crate::http::REQUEST_ID, value);
+                .insert(crate::router::http::REQUEST_ID, value);
         }
         response
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,77 +1,138 @@
-//! What lasts, at the process's edge: the log service, the host list, and a store of topics.
+//! A store of the platform: partitioned logs of records, and the newest record of each key.
 //!
-//! Each is a trait, since another platform will speak otherwise.
+//! A call that got no answer may have been done, or may still be done. Whoever needs to know reads
+//! back; nothing here retries.
 
 pub mod hedge;
-mod hosts;
-mod log;
 mod patience;
-mod topics;
 
-pub use hosts::{HostList, HttpHosts, Listed};
-pub use log::{Appended, Cursor, HttpLog, Log, Page, ReadAnswer, ReadRequest, StreamPage};
 pub use patience::Patience;
-pub use topics::{CallError, KEY_MAX, Page as TopicPage, Partition, Record, Store, Topic};
 
+use std::time::Duration;
+
+use bytes::Bytes;
+use futures::future::BoxFuture;
 use snafu::Snafu;
 
-/// Why the platform did not answer.
-#[derive(Debug, Snafu)]
-pub enum Error {
-    /// The call failed; what it asked for may have been done.
-    #[snafu(display("{service}: {source}"))]
-    Call {
-        /// Which service.
-        service: &'static str,
-        /// The client's error.
-        source: volo_http::error::ClientError,
+/// Longest key of a record, in bytes: the store keeps a key's length in one byte.
+pub const KEY_MAX: usize = 255;
+
+/// Why a call did not do what it should.
+#[derive(Clone, Debug, PartialEq, Eq, Snafu)]
+pub enum CallError {
+    /// Too many calls; nothing was done.
+    #[snafu(display("too many calls"))]
+    Limited,
+    /// The store is not available; nothing was done.
+    #[snafu(display("unavailable"))]
+    Unavailable,
+    /// No connection came up; nothing was done.
+    #[snafu(display("no connection"))]
+    Unreachable,
+    /// No answer; it may have been done, or may be done later.
+    #[snafu(display("no answer"))]
+    Unknown,
+    /// Records from the wanted offset on are gone.
+    #[snafu(display("records before {first} are gone"))]
+    Gone {
+        /// The first offset that is kept.
+        first: u64,
     },
-    /// The service answered with an error.
-    #[snafu(display("{service}: answered {status}"))]
-    Status {
-        /// Which service.
-        service: &'static str,
-        /// The status.
-        status: u16,
+    /// The partition does not end where it was expected to; nothing was done.
+    #[snafu(display("the partition ends at {end}"))]
+    Moved {
+        /// Where it ends.
+        end: u64,
+    },
+    /// A record's key is longer than [`KEY_MAX`]; nothing was sent.
+    #[snafu(display("a key of {length} bytes"))]
+    KeyTooLong {
+        /// Its length in bytes.
+        length: usize,
     },
-    /// The answer makes no sense.
-    #[snafu(display("{service}: {why}"))]
-    Answer {
-        /// Which service.
-        service: &'static str,
-        /// What is wrong with it.
-        why: String,
+    /// An answer that makes no sense.
+    #[snafu(display("answered {status}"))]
+    Refused {
+        /// Its status.
+        status: u16,
     },
 }
 
-type Client = volo_http::client::Client;
+impl CallError {
+    /// Whether the call may have been done all the same.
+    pub fn may_be_done(&self) -> bool {
+        matches!(self, Self::Unknown | Self::Refused { .. })
+    }
+}
 
-/// A client for a platform service.
-fn client(timeout: std::time::Duration) -> Client {
-    let mut builder = volo_http::client::Client::builder();
-    builder.set_connect_timeout(std::time::Duration::from_secs(1));
-    builder.set_request_timeout(timeout);
-    builder.build().expect("the client's settings are constant")
+/// A partition of a topic.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Partition {
+    /// The topic.
+    pub topic: Topic,
+    /// The partition's number.
+    pub number: u32,
 }
 
-/// Takes the JSON out of an answer.
-async fn json<T: serde::de::DeserializeOwned>(
-    service: &'static str,
-    response: volo_http::response::Response,
-) -> Result<T, Error> {
-    use volo_http::body::BodyConversion;
-    let status = response.status();
-    if !status.is_success() {
-        let status = status.as_u16();
-        return Err(Error::Status { service, status });
-    }
-    let bytes = response.into_body().into_bytes().await;
-    let bytes = bytes.map_err(|error| Error::Answer {
-        service,
-        why: error.to_string(),
-    })?;
-    serde_json::from_slice(&bytes).map_err(|error| Error::Answer {
-        service,
-        why: error.to_string(),
-    })
+/// The topics that routers use.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum Topic {
+    /// The operators' configuration.
+    Config,
+    /// The targets, as they list themselves.
+    Targets,
+    /// The routers, as they list themselves.
+    Routers,
+    /// What was prepaid and what is granted, by customer.
+    Prepaid,
+}
+
+/// A record of a key.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Record {
+    /// The key.
+    pub key: String,
+    /// The value; `None` drops the key.
+    pub value: Option<Bytes>,
+}
+
+/// Records of a partition.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Page {
+    /// The records, in order.
+    pub records: Vec<Record>,
+    /// The offset after the last record of the partition at the time of the answer.
+    pub end: u64,
+    /// The offset after the last record of this page.
+    pub next: u64,
+}
+
+/// The store. An answer is waited for `limit`, beside what the store is asked to wait.
+pub trait Store: Send + Sync {
+    /// Appends records, all or none; with `at`, only if the partition ends there. The new end is
+    /// returned.
+    fn append<'a>(
+        &'a self,
+        partition: Partition,
+        records: &'a [Record],
+        at: Option<u64>,
+        limit: Duration,
+    ) -> BoxFuture<'a, Result<u64, CallError>>;
+
+    /// Reads from an offset on, and waits up to `wait` for the first record.
+    fn read(
+        &self,
+        partition: Partition,
+        from: u64,
+        wait: Duration,
+        limit: Duration,
+    ) -> BoxFuture<'_, Result<Page, CallError>>;
+
+    /// The newest record of each key. Read on from `next`: the answer comes in several parts, which
+    /// need not be of one moment.
+    fn newest(
+        &self,
+        partition: Partition,
+        limit: Duration,
+    ) -> BoxFuture<'_, Result<Page, CallError>>;
 }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,11 +1,9 @@
 //! What routers say to each other: h2 streams that carry one bincode frame each way.
 
 mod client;
-mod frame;
 mod server;
 
 pub use client::{Client, Missing};
-pub use frame::{Ask, Reply, Request};
 pub use server::serve;
 
 /// Longest frame taken, in bytes.
--- a/tests/burn_sums.rs
+++ b/tests/burn_sums.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lanedeck::intent::Objective;
-use lanedeck::report::{Key, Metrics, Minute, Sample, burn, is_good, page};
-use lanedeck::request::{Reason, Verdict};
+use lanedeck::router::intent::Objective;
+use lanedeck::router::report::{Key, Metrics, Minute, Sample, burn, is_good, page};
+use lanedeck::router::request::{Reason, Verdict};
 use lanedeck::units::{Millis, Tokens};
 
 const OBJECTIVE: Objective = Objective {
--- a/tests/checkpoints.rs
+++ b/tests/checkpoints.rs
@@ -1,8 +1,8 @@
 //! Following a stream: from its start, past its retention, and from a peer.
 
-use lanedeck::budget::{BudgetKey, Ledger, Violation};
-use lanedeck::intent::{Change, Plan, Terms};
-use lanedeck::log::{Batch, Checkpoint, Entry, Follower, Incarnation, Record, Stream};
+use lanedeck::router::budget::{BudgetKey, Ledger, Violation};
+use lanedeck::router::intent::{Change, Plan, Terms};
+use lanedeck::router::log::{Batch, Checkpoint, Entry, Follower, Incarnation, Record, Stream};
 use lanedeck::units::{Offset, Tokens};
 
 const WRITER: Incarnation = Incarnation(5);
--- a/tests/entry_answers.rs
+++ b/tests/entry_answers.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use lanedeck::host::{Membership, Peer};
-use lanedeck::log::Incarnation;
+use lanedeck::router::host::{Membership, Peer};
+use lanedeck::router::log::Incarnation;
 use lanedeck::units::{Millis, Offset};
 
 fn peer(place: u16) -> Peer {
--- a/tests/ledger_sums.rs
+++ b/tests/ledger_sums.rs
@@ -2,9 +2,9 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
-use lanedeck::budget::{BudgetKey, Ledger, Violation};
-use lanedeck::intent::{Change, Plan, Terms};
-use lanedeck::log::{Batch, Closed, Fold, Follower, Incarnation, Open, Record, Stream};
+use lanedeck::router::budget::{BudgetKey, Ledger, Violation};
+use lanedeck::router::intent::{Change, Plan, Terms};
+use lanedeck::router::log::{Batch, Closed, Fold, Follower, Incarnation, Open, Record, Stream};
 use lanedeck::units::{Offset, Tokens};
 use lanedeck::util;
 
@@ -157,7 +157,7 @@
 #[test]
 fn repeated_append() {
     let mut follower: Follower<Ledger> = Follower::default();
-    let entry = |seq, record| lanedeck::log::Entry { seq, record };
+    let entry = |seq, record| lanedeck::router::log::Entry { seq, record };
     let first = Batch {
         writer: Incarnation(1),
         entries: vec![entry(1, set(100, 0, 1))],
@@ -250,10 +250,10 @@
             let bytes: Vec<u8> = u.arbitrary()?;
             // Whatever comes in is decoded or refused; it never brings the process down.
             let _ = Batch::decode(&bytes);
-            let _ = util::decode::<lanedeck::wire::Request>(&bytes);
-            let _ = util::decode::<lanedeck::wire::Reply>(&bytes);
-            let _ = lanedeck::http::chat::parse(&bytes);
-            let _ = String::from_utf8_lossy(&bytes).parse::<lanedeck::request::Id>();
+            let _ = util::decode::<lanedeck::router::message::Request>(&bytes);
+            let _ = util::decode::<lanedeck::router::message::Reply>(&bytes);
+            let _ = lanedeck::router::http::chat::parse(&bytes);
+            let _ = String::from_utf8_lossy(&bytes).parse::<lanedeck::router::request::Id>();
             Ok(())
         })
         .seed(seed << 32 | 512);
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -6,23 +6,23 @@
 
 use std::net::SocketAddr;
 
-use lanedeck::budget::{Answer, BudgetKey, Ledger, Pledge, Price, Taken, Ward};
-use lanedeck::control::{Status, StatusBudget, StatusPeer};
-use lanedeck::host::Peer;
-use lanedeck::http::caller::{Entry as EntryAnswer, Use};
-use lanedeck::http::{chat, reply};
-use lanedeck::intent::{
+use lanedeck::router::budget::{Answer, BudgetKey, Ledger, Pledge, Price, Taken, Ward};
+use lanedeck::router::control::{Status, StatusBudget, StatusPeer};
+use lanedeck::router::host::Peer;
+use lanedeck::router::http::caller::{Entry as EntryAnswer, Use};
+use lanedeck::router::http::{chat, reply};
+use lanedeck::router::intent::{
     Change, Class, Config, Customer, Intent, Key, Kind, Object, Objective, Plan, Proposal, Target,
     Terms,
 };
-use lanedeck::log::{
+use lanedeck::router::log::{
     Batch, Checkpoint, Closed, Entry, Fold, Incarnation, Open, Record, Stream, digest,
 };
-use lanedeck::report;
-use lanedeck::request::{Id, Prefix, Reason, Verdict};
+use lanedeck::router::message::{Ask, Reply, Request};
+use lanedeck::router::report;
+use lanedeck::router::request::{Id, Prefix, Reason, Verdict};
 use lanedeck::units::{Millis, Offset, Tokens};
 use lanedeck::util;
-use lanedeck::wire::{Ask, Reply, Request};
 use pins::{options, pin};
 use serde::Serialize;
 
@@ -593,15 +593,15 @@
 #[test]
 fn header_names() {
     let names = [
-        lanedeck::http::REQUEST_ID,
-        lanedeck::http::VERDICT,
-        lanedeck::http::BILLED,
-        lanedeck::http::REASON,
-        lanedeck::http::CLASS,
-        lanedeck::http::BUDGET,
-        lanedeck::http::REPEATABLE,
-        lanedeck::http::ATTEMPT,
-        lanedeck::http::FENCE,
+        lanedeck::router::http::REQUEST_ID,
+        lanedeck::router::http::VERDICT,
+        lanedeck::router::http::BILLED,
+        lanedeck::router::http::REASON,
+        lanedeck::router::http::CLASS,
+        lanedeck::router::http::BUDGET,
+        lanedeck::router::http::REPEATABLE,
+        lanedeck::router::http::ATTEMPT,
+        lanedeck::router::http::FENCE,
     ];
     assert_eq!(
         names.join(" "),
@@ -648,6 +648,6 @@
         std::str::from_utf8(&body).unwrap(),
         "{\"error\":{\"message\":\"max_tokens: 1 to 9\",\"type\":\"max_tokens\"},\"lanedeck\":{\"reason\":\"max_tokens\",\"verdict\":\"not_run\"}}"
     );
-    assert_eq!(head.headers[lanedeck::http::VERDICT], "not_run");
-    assert_eq!(head.headers[lanedeck::http::REASON], "max_tokens");
+    assert_eq!(head.headers[lanedeck::router::http::VERDICT], "not_run");
+    assert_eq!(head.headers[lanedeck::router::http::REASON], "max_tokens");
 }
--- a/tests/queue_order.rs
+++ b/tests/queue_order.rs
@@ -1,6 +1,6 @@
 //! Who waits, who is shed, and who is told at once.
 
-use lanedeck::request::{Bound, Queue, Ticket, Waiting};
+use lanedeck::router::request::{Bound, Queue, Ticket, Waiting};
 use lanedeck::units::Millis;
 
 fn waiting(ticket: u64, rank: u8, arrived: u64) -> Waiting {
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -1,6 +1,8 @@
 //! Which route, service and customer a request belongs to.
 
-use lanedeck::route::{Backend, Config, Customer, Kind, Limits, Route, Service, ServiceKey};
+use lanedeck::gateway::route::{
+    Backend, Config, Customer, Kind, Limits, Route, Service, ServiceKey,
+};
 use lanedeck::units::Millis;
 
 fn route(name: &str, host: &str, prefix: &str) -> Route {
--- a/tests/target_choice.rs
+++ b/tests/target_choice.rs
@@ -2,8 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use lanedeck::intent::{Kind, Target};
-use lanedeck::target::{Outcome, Policy, Pool, TargetKey, Want, blocks};
+use lanedeck::health::Outcome;
+use lanedeck::router::intent::{Kind, Target};
+use lanedeck::router::target::{Policy, Pool, TargetKey, Want, blocks};
 use lanedeck::units::{Millis, Offset, Tokens};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/tests/target_view.rs
+++ b/tests/target_view.rs
@@ -2,7 +2,7 @@
 
 use lanedeck::gateway::target::{Key, Targets};
 use lanedeck::gateway::{Listing, Part, Prompt};
-use lanedeck::target::Outcome;
+use lanedeck::health::Outcome;
 use lanedeck::units::{Millis, Tokens};
 
 const NOW: Millis = Millis(1_000_000);
--- a/tests/witness_rules.rs
+++ b/tests/witness_rules.rs
@@ -1,8 +1,8 @@
 //! A witness alone: what it acknowledges, and how it judges a takeover.
 
-use lanedeck::budget::{Answer, BudgetKey, Pledge, Price, Replay, Taken, Ward, Witness};
-use lanedeck::log::Incarnation;
-use lanedeck::request::Id;
+use lanedeck::router::budget::{Answer, BudgetKey, Pledge, Price, Replay, Taken, Ward, Witness};
+use lanedeck::router::log::Incarnation;
+use lanedeck::router::request::Id;
 use lanedeck::units::{Millis, Tokens};
 
 const HOLDER: Incarnation = Incarnation(2);
