--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -8,14 +8,13 @@
 use std::time::{Duration, Instant};
 
 use gumdrop::Options;
-use rand::rngs::StdRng;
-use rand::{RngExt, SeedableRng};
+use rand::RngExt;
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
 use self::caller::{Caller, Job, Plan};
 use self::tally::Tally;
-use super::client::{Client, address, addresses};
+use super::client::{Client, addresses};
 use super::{Error, Result, block_on, print, usage};
 
 pub const ABOUT: &str = "Drives callers' traffic: asks for an entry answer, sends requests with ids
@@ -25,8 +24,6 @@
 
 Examples:
   lanedeck load --entry 127.0.0.1:7000 --key kiosks:secret --model assistant --requests 500 --rate 50
-  lanedeck load --entry 127.0.0.1:7000 --key kiosks:secret --model assistant \\
-      --direct 127.0.0.1:7301 --requests 200      pairs each call with one straight to the engine
 ";
 
 #[derive(Debug, Options)]
@@ -61,18 +58,6 @@
         help = "share of service calls, in thousandths"
     )]
     service_share: u32,
-    #[options(
-        no_short,
-        meta = "NAME",
-        help = "the budget that pays; the customer's own if not given"
-    )]
-    budget: Option<String>,
-    #[options(
-        no_short,
-        meta = "NAME",
-        help = "the class; the customer's first if not given"
-    )]
-    class: Option<String>,
     #[options(no_short, meta = "N", default = "100", help = "requests to send")]
     requests: u64,
     #[options(
@@ -91,15 +76,6 @@
     callers: usize,
     #[options(no_short, meta = "N", default = "20", help = "tokens of an answer")]
     tokens: u64,
-    #[options(no_short, meta = "BYTES", default = "600", help = "length of a prompt")]
-    prompt: usize,
-    #[options(
-        no_short,
-        meta = "N",
-        default = "8",
-        help = "prompts that share a beginning; 0 for none"
-    )]
-    families: u64,
     #[options(
         no_short,
         meta = "N",
@@ -114,29 +90,16 @@
         help = "longest wait before a request is sent again, in milliseconds"
     )]
     wait_max: u64,
-    #[options(
-        no_short,
-        meta = "IP:PORT",
-        help = "an engine that each model call is paired with"
-    )]
-    direct: Option<String>,
     #[options(no_short, meta = "FILE", help = "writes one JSON line a request")]
     output: Option<String>,
-    #[options(no_short, meta = "N", default = "1", help = "seed of all draws")]
-    seed: u64,
 }
 
 pub fn run(args: &Args) -> Result<()> {
     let entries = addresses("entry", &args.entry)?;
-    let direct = args
-        .direct
-        .as_deref()
-        .map(|text| address("direct", text))
-        .transpose()?;
     if args.rate.is_nan() || args.rate <= 0.0 {
         return usage("--rate: wanted is a number above 0");
     }
-    let tally = block_on(4, drive(args, entries, direct))?;
+    let tally = block_on(4, drive(args, entries))?;
     if let Some(file) = &args.output {
         std::fs::write(file, tally.lines()).map_err(|source| Error::Io {
             what: file.clone(),
@@ -150,28 +113,24 @@
     }
 }
 
-async fn drive(args: &Args, entries: Vec<SocketAddr>, direct: Option<SocketAddr>) -> Result<Tally> {
+async fn drive(args: &Args, entries: Vec<SocketAddr>) -> Result<Tally> {
     let plan = Plan {
         model: args.model.clone(),
         service: args.service.clone(),
-        budget: args.budget.clone(),
-        class: args.class.clone(),
         tokens: args.tokens,
         tries: args.tries,
         wait_max: Duration::from_millis(args.wait_max),
-        direct,
     };
     let caller = Caller::new(Client::new(&args.key), entries, plan).await?;
     let caller = Arc::new(caller);
     let room = Arc::new(Semaphore::new(args.callers.max(1)));
-    let mut rng = StdRng::seed_from_u64(args.seed);
     let mut tasks = JoinSet::new();
     let start = Instant::now();
     for number in 0..args.requests {
         let at = start + Duration::from_secs_f64(number as f64 / args.rate);
         tokio::time::sleep_until(at.into()).await;
         let permit = Arc::clone(&room).acquire_owned().await;
-        let job = job(args, number, &mut rng);
+        let job = job(args, number);
         let caller = Arc::clone(&caller);
         tasks.spawn(async move {
             let record = caller.serve(job).await;
@@ -189,19 +148,12 @@
     Ok(tally)
 }
 
-fn job(args: &Args, number: u64, rng: &mut StdRng) -> Job {
-    let service = args.service.is_some() && rng.random_range(0..1_000) < args.service_share;
-    let family = match args.families {
-        0 => number,
-        families => rng.random_range(0..families),
-    };
-    let mut text = format!("family {family} ").repeat(args.prompt / 10 + 1);
-    text.truncate(args.prompt);
-    text.push_str(&format!(" question {number}"));
+fn job(args: &Args, number: u64) -> Job {
+    let mut rng = rand::rng();
     Job {
-        // Not by the seed: another run against the same routers must not use these ids again.
-        number: rand::rng().random_range(0..1 << 31),
-        service,
-        text,
+        // Never the same: another run against the same routers must not use these ids again.
+        number: rng.random_range(0..1 << 31),
+        service: args.service.is_some() && rng.random_range(0..1_000) < args.service_share,
+        text: format!("question {number}"),
     }
 }
--- a/src/cmd/load/caller.rs
+++ b/src/cmd/load/caller.rs
@@ -16,7 +16,7 @@
 use crate::cmd::client::Client;
 use crate::router::http::caller::Entry;
 use crate::router::http::chat::{self, Frame};
-use crate::router::http::{BILLED, BUDGET, CLASS, REASON, REPEATABLE, REQUEST_ID, VERDICT};
+use crate::router::http::{BILLED, REASON, REPEATABLE, REQUEST_ID, VERDICT};
 use crate::standin::engine::word;
 use crate::standin::service::{Receipt, receipt};
 
@@ -27,12 +27,9 @@
 pub struct Plan {
     pub model: String,
     pub service: Option<String>,
-    pub budget: Option<String>,
-    pub class: Option<String>,
     pub tokens: u64,
     pub tries: u32,
     pub wait_max: Duration,
-    pub direct: Option<SocketAddr>,
 }
 
 /// One request.
@@ -53,9 +50,6 @@
     pub tries: u32,
     pub first_ms: f64,
     pub total_ms: f64,
-    /// The same call straight to the engine.
-    pub direct_first_ms: f64,
-    pub direct_total_ms: f64,
     /// An answer that was said to be whole was not, or was another's.
     pub wrong: bool,
 }
@@ -130,14 +124,7 @@
             return record;
         };
         record.id = format!("{}{:08x}", home.prefix, job.number);
-        let direct_first = job.number % 2 == 0;
-        if direct_first {
-            self.pair(&job, &mut record).await;
-        }
         self.tries(&job, &entry, home.address, &mut record).await;
-        if !direct_first {
-            self.pair(&job, &mut record).await;
-        }
         record
     }
 
@@ -207,8 +194,6 @@
 
     async fn once(&self, job: &Job, to: SocketAddr, id: &str) -> Try {
         let mut headers = vec![(REQUEST_ID, id)];
-        headers.extend(self.plan.budget.as_deref().map(|budget| (BUDGET, budget)));
-        headers.extend(self.plan.class.as_deref().map(|class| (CLASS, class)));
         match (&self.plan.service, job.service) {
             (Some(service), true) => {
                 headers.push((REPEATABLE, "no"));
@@ -314,19 +299,6 @@
             next += 1;
         }
     }
-
-    /// The same call straight to an engine.
-    async fn pair(&self, job: &Job, record: &mut Record) {
-        let Some(engine) = self.plan.direct.filter(|_| !job.service) else {
-            return;
-        };
-        let id = format!("direct.{}", job.number);
-        let start = Instant::now();
-        if let Try::Ran { first, .. } = self.call_model(job, engine, &[(REQUEST_ID, &id)]).await {
-            record.direct_first_ms = first.as_secs_f64() * 1e3;
-            record.direct_total_ms = start.elapsed().as_secs_f64() * 1e3;
-        }
-    }
 }
 
 fn refused(headers: &http::HeaderMap) -> Try {
--- a/src/cmd/load/tally.rs
+++ b/src/cmd/load/tally.rs
@@ -70,23 +70,6 @@
         };
         latency(&mut text, "first", ran().map(|record| record.first_ms));
         latency(&mut text, "total", ran().map(|record| record.total_ms));
-        let paired = || ran().filter(|record| record.direct_total_ms > 0.0);
-        if paired().next().is_some() {
-            latency(
-                &mut text,
-                "direct_first",
-                paired().map(|record| record.direct_first_ms),
-            );
-            latency(
-                &mut text,
-                "direct_total",
-                paired().map(|record| record.direct_total_ms),
-            );
-            let added = paired().map(|record| record.first_ms - record.direct_first_ms);
-            latency(&mut text, "added_first", added);
-            let added = paired().map(|record| record.total_ms - record.direct_total_ms);
-            latency(&mut text, "added_total", added);
-        }
         text
     }
 }
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -90,7 +90,7 @@
         no_short,
         meta = "POLICY",
         default = "two",
-        help = "choice of targets: least, two, prefix or expected"
+        help = "choice of targets: two; least, prefix and expected are taken and do as two"
     )]
     pub policy: String,
     #[options(
@@ -165,6 +165,11 @@
     pub log_level: String,
 }
 
+/// The one choice of targets that there is.
+const POLICY: &str = "two";
+/// What `--policy` takes: the others were removed, and settings that name them still start.
+const POLICIES: [&str; 4] = [POLICY, "least", "prefix", "expected"];
+
 /// Settings that have been checked.
 pub struct Checked {
     pub settings: Settings,
@@ -177,6 +182,7 @@
     pub body_max: usize,
     pub silence: Duration,
     pub threads: usize,
+    pub policy: String,
     pub in_force: String,
 }
 
@@ -197,12 +203,10 @@
     let hosts = c.address("hosts", &args.hosts);
     let hall = c.name("hall", &args.hall);
     let region = c.name("region", &args.region);
-    let policy = c.take(
-        "policy",
-        &args.policy,
-        "least, two, prefix or expected",
-        |_| true,
-    );
+    let wanted = POLICIES.join(", ");
+    let policy = c.take("policy", &args.policy, &wanted, |policy: &String| {
+        POLICIES.contains(&policy.as_str())
+    });
     let horizon = span(c, "horizon", &args.horizon, 1, 86_400);
     let append_gap = span(c, "append-gap", &args.append_gap, 1, 60_000);
     let close_after = span(c, "close-after", &args.close_after, 1_000, 600_000);
@@ -243,8 +247,9 @@
             applied: Offset::ZERO,
         };
         let mut settings = Settings::new(me, rand::rng().random());
-        settings.policy = policy?;
-        settings.sizing = Sizing::Thin(Millis(horizon? * 1_000));
+        settings.sizing = Sizing {
+            horizon: Millis(horizon? * 1_000),
+        };
         settings.append_gap = Millis(append_gap?);
         settings.close_after = Millis(close_after?);
         settings.checkpoint_every = checkpoint_every?;
@@ -263,6 +268,7 @@
             body_max: usize::try_from(body_max?).ok()?,
             silence: Duration::from_millis(silence?),
             threads: usize::try_from(threads?).ok()?,
+            policy: policy?,
             in_force,
         })
     };
@@ -309,6 +315,9 @@
 pub fn run(args: &Args) -> Result<()> {
     let checked = check(args)?;
     start_logs(&args.log_level);
+    if checked.policy != POLICY {
+        tracing::warn!(event = "policy_removed", given = %checked.policy, in_force = POLICY);
+    }
     block_on(checked.threads, async {
         let options = bound(checked).await?;
         let me = &options.settings.me;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -369,10 +369,7 @@
         return Outcome::Failed;
     }
     let whole = Millis(u64::try_from(tried_at.elapsed().as_millis()).unwrap_or(u64::MAX));
-    Outcome::Answered {
-        first: whole,
-        whole,
-    }
+    Outcome::Answered { whole }
 }
 
 /// The answer for a stream that has begun.
--- a/src/gateway/route/config.rs
+++ b/src/gateway/route/config.rs
@@ -218,11 +218,6 @@
         &self.services[key.0]
     }
 
-    /// All services.
-    pub fn services(&self) -> &[Service] {
-        &self.services
-    }
-
     /// All customers.
     pub fn customers(&self) -> &[Customer] {
         &self.customers
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,8 +1,7 @@
 //! How a target has behaved towards this router.
 //!
 //! A target that fails fast has few requests in flight and would attract ever more, so failures
-//! count against it by share and eject it for a while. One that is slow without being down is
-//! seen by its time to the first token against the others'.
+//! count against it by share and eject it for a while.
 
 use crate::units::Millis;
 
@@ -22,10 +21,8 @@
 /// How a request to a target ended, as far as the target is to be judged by it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered; the first byte came after this long.
+    /// It answered.
     Answered {
-        /// Time to the first token, or to the answer of a service.
-        first: Millis,
         /// Time to the end.
         whole: Millis,
     },
@@ -39,7 +36,6 @@
     failures: f64,
     row: u32,
     outcomes: u32,
-    first: Option<f64>,
     whole: Option<f64>,
     ejected_until: Millis,
     ejections: u32,
@@ -50,9 +46,8 @@
     pub fn note(&mut self, outcome: Outcome) -> bool {
         self.outcomes = self.outcomes.saturating_add(1);
         match outcome {
-            Outcome::Answered { first, whole } => {
+            Outcome::Answered { whole } => {
                 self.failures *= 1.0 - NEWEST;
-                self.first = Some(average(self.first, first));
                 self.whole = Some(average(self.whole, whole));
                 self.row = 0;
                 self.ejections = 0;
@@ -82,20 +77,10 @@
         now < self.ejected_until
     }
 
-    /// Average time to the first token, in milliseconds, once there is one.
-    pub fn first(&self) -> Option<f64> {
-        self.first
-    }
-
     /// Average time of a whole request, in milliseconds, once there is one.
     pub fn whole(&self) -> Option<f64> {
         self.whole
     }
-
-    /// Share of failures, recent ones counting most.
-    pub fn failures(&self) -> f64 {
-        self.failures
-    }
 }
 
 fn average(old: Option<f64>, sample: Millis) -> f64 {
--- a/src/router/budget/demand.rs
+++ b/src/router/budget/demand.rs
@@ -1,11 +1,11 @@
 //! How much of a budget to ask for.
 
-use serde::{Deserialize, Serialize};
-
 use crate::units::{Millis, Tokens};
 
 /// Time constant of the demand estimate.
 const MEMORY: Millis = Millis(10_000);
+/// Span of demand that a holder keeps when it gives back. Not measured.
+const KEPT: Millis = Millis(2_000);
 
 /// A decaying estimate of tokens spent a second.
 #[derive(Clone, Copy, Debug, Default)]
@@ -33,21 +33,20 @@
     }
 }
 
-/// Ways to size a grant.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Sizing {
-    /// Always the same.
-    Fixed(Tokens),
-    /// Demand over a horizon.
-    Demand(Millis),
-    /// Demand over a horizon, but never more than a share of what is left; idle grants are given
-    /// back when somebody else runs short.
-    Thin(Millis),
+/// How grants are sized: by the demand over a horizon, but never more than a share of what is left.
+/// What lies idle is given back when somebody else runs short. Grants of one size, and by demand
+/// alone, left more of a budget stranded (docs/DESIGN.md, money).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Sizing {
+    /// Span of demand that a grant covers.
+    pub horizon: Millis,
 }
 
 impl Default for Sizing {
     fn default() -> Self {
-        Self::Thin(Millis(3_600_000))
+        Self {
+            horizon: Millis(3_600_000),
+        }
     }
 }
 
@@ -62,24 +61,13 @@
         left: Tokens,
         holders: usize,
     ) -> Tokens {
-        let wanted = match self {
-            Self::Fixed(chunk) => chunk,
-            Self::Demand(horizon) => demand.within(now, horizon),
-            Self::Thin(horizon) => {
-                let share = Tokens(left.0 / (2 * holders.max(1) as u64));
-                demand.within(now, horizon).min(share)
-            }
-        };
+        let share = Tokens(left.0 / (2 * holders.max(1) as u64));
+        let wanted = demand.within(now, self.horizon).min(share);
         wanted.max(short)
     }
 
-    /// Whether idle grants are given back when the budget runs short.
-    pub fn returns_idle(self) -> bool {
-        matches!(self, Self::Thin(_))
-    }
-
     /// What a holder keeps when it gives back: its demand over a short while.
     pub fn keep(self, now: Millis, demand: &Demand) -> Tokens {
-        demand.within(now, Millis(2_000))
+        demand.within(now, KEPT)
     }
 }
--- a/src/router/budget/holder.rs
+++ b/src/router/budget/holder.rs
@@ -179,9 +179,6 @@
 
     /// Gives back what lies idle; the new running total, if there is any.
     pub fn return_idle(&mut self, now: Millis, key: BudgetKey, grant: Grant) -> Option<Tokens> {
-        if !self.sizing.returns_idle() {
-            return None;
-        }
         let sizing = self.sizing;
         let account = self.accounts.entry(key).or_default();
         let keep = sizing.keep(now, &account.demand);
--- a/src/router/budget/sequence.rs
+++ b/src/router/budget/sequence.rs
@@ -65,10 +65,4 @@
             self.members.remove(&oldest);
         }
     }
-
-    /// Writers that have neither left nor been closed, with what is known of them.
-    pub fn present(&self) -> impl Iterator<Item = (Incarnation, Member)> + '_ {
-        let members = self.members.iter().map(|(key, member)| (*key, *member));
-        members.filter(|(_, member)| member.gone.is_none())
-    }
 }
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -297,13 +297,6 @@
         }
     }
 
-    /// Whether a ward is closed.
-    pub fn is_closed(&self, holder: Incarnation) -> bool {
-        self.wards
-            .get(&holder)
-            .is_some_and(|held| held.closed.is_some())
-    }
-
     /// Closed wards.
     pub fn closed(&self) -> Vec<Incarnation> {
         let wards = self.wards.iter();
--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -40,8 +40,6 @@
     pub serves: String,
     /// The most tokens that it can use, before the price; 0 for a service.
     pub most: Tokens,
-    /// Hashes of the prompt's blocks.
-    pub blocks: Arc<[u64]>,
     /// Whether it may run twice.
     pub repeatable: bool,
 }
@@ -53,8 +51,6 @@
     Whole {
         /// Tokens used, before the price.
         used: Tokens,
-        /// Time to the first byte.
-        first: Millis,
         /// Time to the last.
         whole: Millis,
     },
@@ -103,16 +99,12 @@
     },
     /// The host list: peer address and whether it leaves.
     Hosts(Vec<(SocketAddr, bool)>),
-    /// A target's report of its load and cache.
+    /// A target's report of its load.
     Report {
         /// Its address.
         address: SocketAddr,
         /// Requests that it has.
         running: u32,
-        /// Blocks that it has stored since.
-        stored: Vec<u64>,
-        /// Blocks that it has dropped since.
-        evicted: Vec<u64>,
     },
     /// A peer asks.
     Asked {
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -140,8 +140,7 @@
         job.choice = Some(choice);
         let ask = job.open_ask();
         let nonce = job.nonce;
-        self.pool
-            .dispatched(self.now, choice.target, &job.spec.blocks);
+        self.pool.dispatched(choice.target);
         self.by_nonce.insert(nonce, ticket);
         if let Some(ask) = ask {
             self.tell_witnesses(&ask);
@@ -192,7 +191,7 @@
             return;
         };
         let outcome = match end {
-            End::Whole { first, whole, .. } => Outcome::Answered { first, whole },
+            End::Whole { whole, .. } => Outcome::Answered { whole },
             End::Unsent | End::Refused | End::Broken { .. } => Outcome::Failed,
         };
         self.pool.finished(self.now, choice.target, Some(outcome));
@@ -239,8 +238,7 @@
         job.choice = Some(choice);
         let ask = job.open_ask();
         self.retries -= 1.0;
-        self.pool
-            .dispatched(self.now, choice.target, &job.spec.blocks);
+        self.pool.dispatched(choice.target);
         // The witness has the reservation already; this tells it where to ask.
         if let Some(ask) = ask {
             self.tell_witnesses(&ask);
@@ -390,7 +388,6 @@
     let want = Want {
         kind: job.spec.kind,
         serves: &job.spec.serves,
-        blocks: &job.spec.blocks,
         tried: &job.tried,
     };
     pool.choose(now, &want, rng)
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -16,7 +16,7 @@
 use crate::router::request::{
     Bound, EPOCH_LENGTH, Id, Prefix, Queue, Reason, Table, Ticket, Verdict,
 };
-use crate::router::target::{Policy, Pool};
+use crate::router::target::Pool;
 use crate::units::{Millis, Offset};
 
 /// Numbers in our books of requests that were taken over start here. Those of callers are below
@@ -32,8 +32,6 @@
     pub seed: u64,
     /// Size of grants.
     pub sizing: Sizing,
-    /// Choice of targets.
-    pub policy: Policy,
     /// Limits of each queue.
     pub bound: Bound,
     /// Least time between two appends of this router to a stream.
@@ -53,7 +51,6 @@
             me,
             seed,
             sizing: Sizing::default(),
-            policy: Policy::default(),
             bound: Bound::default(),
             append_gap: Millis(100),
             witnessed: true,
@@ -62,13 +59,6 @@
         }
     }
 
-    /// With another way to size grants.
-    #[must_use]
-    pub fn with_sizing(mut self, sizing: Sizing) -> Self {
-        self.sizing = sizing;
-        self
-    }
-
     /// With or without a witness's acknowledgement before each dispatch.
     #[must_use]
     pub fn with_witnessed(mut self, witnessed: bool) -> Self {
@@ -196,7 +186,7 @@
             queues: BTreeMap::new(),
             busy: HashMap::new(),
             retries: super::dispatch::RETRIES_FIRST,
-            pool: Pool::new(settings.policy),
+            pool: Pool::default(),
             membership: Membership::new(me),
             next_call: 1,
             calls: HashMap::new(),
@@ -230,12 +220,7 @@
             Input::LogUp(up) => self.set_log_up(up),
             Input::Appended { stream, taken } => self.appended(stream, taken),
             Input::Hosts(hosts) => self.take_hosts(&hosts),
-            Input::Report {
-                address,
-                running,
-                stored,
-                evicted,
-            } => self.report(address, running, &stored, &evicted),
+            Input::Report { address, running } => self.report(address, running),
             Input::Asked { token, request } => self.asked(token, request),
             Input::Replied { call, reply } => self.replied(call, reply),
             Input::Intent { token, intent } => self.intent(token, &intent),
@@ -264,16 +249,9 @@
         self.finish_stop();
     }
 
-    fn report(
-        &mut self,
-        address: std::net::SocketAddr,
-        running: u32,
-        stored: &[u64],
-        evicted: &[u64],
-    ) {
+    fn report(&mut self, address: std::net::SocketAddr, running: u32) {
         if let Some(key) = self.pool.find(address) {
             self.pool.report(self.now, key, running);
-            self.pool.cached(self.now, key, stored, evicted);
             self.pump();
         }
     }
@@ -310,21 +288,11 @@
         self.prefix().with_number(self.next_number).nonce
     }
 
-    /// The membership as this router sees it.
-    pub fn membership(&self) -> &Membership {
-        &self.membership
-    }
-
     /// The configuration in force here.
     pub fn config(&self) -> &Config {
         self.config.state()
     }
 
-    /// The pool of targets.
-    pub fn pool(&self) -> &Pool {
-        &self.pool
-    }
-
     /// A shard's ledger as far as it is applied.
     pub fn ledger(&self, shard: u8) -> &Ledger {
         self.ledgers[usize::from(shard)].state()
@@ -338,16 +306,6 @@
         }
     }
 
-    /// Invariants that did not hold since the start.
-    pub fn violations(&self) -> u64 {
-        self.violations
-    }
-
-    /// Requests on their way.
-    pub fn in_progress(&self) -> usize {
-        self.jobs.len()
-    }
-
     /// Whether every stream has been read to its end once, or taken from a peer.
     pub fn is_ready(&self) -> bool {
         self.read.len() == Stream::all().count()
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -137,8 +137,6 @@
             shared.tell(Input::Report {
                 address,
                 running: load.running,
-                stored: load.stored,
-                evicted: load.evicted,
             });
         }
     }
--- a/src/router/host/member.rs
+++ b/src/router/host/member.rs
@@ -127,11 +127,6 @@
         }
     }
 
-    /// A peer has said that it is gone.
-    pub fn gone(&mut self, incarnation: Incarnation) {
-        self.known.remove(&incarnation);
-    }
-
     /// Starts a round: whom to tell.
     pub fn round<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<SocketAddr> {
         self.me.counter += 1;
@@ -174,14 +169,6 @@
         self.peer(incarnation).map(|peer| peer.address)
     }
 
-    /// How a peer stands; a stranger is ill.
-    pub fn standing(&self, now: Millis, incarnation: Incarnation) -> Standing {
-        match self.known.get(&incarnation) {
-            None => Standing::Ill,
-            Some(known) => self.stand(now, known),
-        }
-    }
-
     fn ill_after(&self) -> Millis {
         ILL_AFTER + Millis(ILL_PER_PEER.0 * self.known.len() as u64)
     }
--- a/src/router/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -225,14 +225,4 @@
     pub fn remove(&self, ticket: Ticket) -> Option<Arc<Answer>> {
         self.lock().remove(&ticket)
     }
-
-    /// Answers kept.
-    pub fn len(&self) -> usize {
-        self.lock().len()
-    }
-
-    /// Whether none is kept.
-    pub fn is_empty(&self) -> bool {
-        self.lock().is_empty()
-    }
 }
--- a/src/router/http/caller.rs
+++ b/src/router/http/caller.rs
@@ -23,7 +23,6 @@
 use crate::router::Shared;
 use crate::router::control::Spec;
 use crate::router::request::{Id, Verdict};
-use crate::router::target::blocks;
 use crate::units::Tokens;
 use crate::util::{is_name, secret_matches};
 
@@ -163,16 +162,7 @@
     let prompt = call.prompt();
     // A token is at least a byte, so this is the most that the prompt can come to.
     let most = Tokens(prompt.len() as u64 + call.max_tokens);
-    let blocks = blocks(prompt.as_bytes()).into();
-    let answer = submit(
-        &shared,
-        &caller,
-        Work::Chat(call),
-        &body,
-        &model,
-        most,
-        blocks,
-    );
+    let answer = submit(&shared, &caller, Work::Chat(call), &body, &model, most);
     let answer = first_of(answer).await;
     if let Step::End(verdict) = answer.step(0).await {
         return reply::refused(caller.id, &verdict, &model);
@@ -196,8 +186,7 @@
         Err(wrong) => return wrong.reply(),
     };
     let work = Work::Service(body.clone());
-    let none = [].into();
-    let answer = submit(&shared, &caller, work, &body, &name, Tokens::ZERO, none);
+    let answer = submit(&shared, &caller, work, &body, &name, Tokens::ZERO);
     let answer = first_of(answer).await;
     let verdict = answer.ended().await;
     match (answer.whole(), verdict) {
@@ -218,7 +207,6 @@
     body: &Bytes,
     serves: &str,
     most: Tokens,
-    blocks: Arc<[u64]>,
 ) -> Arc<Answer> {
     let mut hash = Xxh3::new();
     for part in [
@@ -249,7 +237,6 @@
         kind,
         serves: serves.to_owned(),
         most,
-        blocks,
         repeatable: caller.repeatable,
     };
     let answer = Arc::new(Answer::new(work, about));
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -66,17 +66,13 @@
     pub used: u64,
 }
 
-/// A target's report of its load and cache.
+/// A target's report of its load. The events of its cache, which it tells as well, are not used.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Load {
     /// Requests that it has.
     pub running: u32,
-    /// Where to read cache events on.
+    /// Where its cache events go on, so that it does not tell them all again.
     pub next: usize,
-    /// Blocks stored since.
-    pub stored: Vec<u64>,
-    /// Blocks dropped since.
-    pub evicted: Vec<u64>,
 }
 
 /// How a stream of frames ended.
@@ -99,7 +95,6 @@
 struct Progress {
     next: u64,
     used: u64,
-    first: Option<Millis>,
     dropped: u32,
 }
 
@@ -184,7 +179,6 @@
             Ok(response) => response,
             Err(end) => return end,
         };
-        let first = millis(start);
         let status = response.status();
         let id = order.id.to_string();
         let ours = response
@@ -201,7 +195,6 @@
         answer.set_whole(Whole { status, body });
         End::Whole {
             used: Tokens::ZERO,
-            first,
             whole: millis(start),
         }
     }
@@ -211,7 +204,6 @@
         let mut progress = Progress {
             next: 0,
             used: 0,
-            first: None,
             dropped: 0,
         };
         let path = "/v1/chat/completions";
@@ -225,13 +217,10 @@
             let before = progress.next;
             if let Some(stream) = response.take()
                 && let Ok(reader) = stream.into_sse()
-                && let Read::Whole = self
-                    .read(answer, order, reader, &mut progress, &seen, start)
-                    .await
+                && let Read::Whole = self.read(answer, order, reader, &mut progress, &seen).await
             {
                 return End::Whole {
                     used: Tokens(progress.used),
-                    first: progress.first.unwrap_or_default(),
                     whole: millis(start),
                 };
             }
@@ -262,7 +251,6 @@
         mut reader: SseReader<Body>,
         progress: &mut Progress,
         seen: &impl Fn(u64),
-        start: Instant,
     ) -> Read {
         let id = order.id.to_string();
         loop {
@@ -283,7 +271,6 @@
                 return Read::Broken;
             }
             progress.next += 1;
-            progress.first.get_or_insert_with(|| millis(start));
             match frame.usage {
                 Some(usage) => progress.used = usage.total_tokens,
                 None => progress.used += 1,
--- a/src/router/request/table.rs
+++ b/src/router/request/table.rs
@@ -70,14 +70,4 @@
         });
         gone
     }
-
-    /// Ids known.
-    pub fn len(&self) -> usize {
-        self.slots.len()
-    }
-
-    /// Whether no id is known.
-    pub fn is_empty(&self) -> bool {
-        self.slots.is_empty()
-    }
 }
--- a/src/router/target/pool.rs
+++ b/src/router/target/pool.rs
@@ -1,11 +1,15 @@
-//! All targets of the configuration, with what this router knows of each.
+//! All targets of the configuration, with what this router knows of each, and the choice among them.
+//!
+//! A request goes to the less loaded of two targets drawn at random. Routers do not see each other's
+//! dispatches and loads lag, so every choice that prefers one place sends too much there at once
+//! (docs/BENCHMARKS.md, choice of target).
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
 
-use rand::Rng;
+use rand::{Rng, RngExt};
 
-use super::{Candidate, Policy, TargetKey, View};
+use super::TargetKey;
 use crate::health::{Health, Outcome};
 use crate::router::intent::{Kind, Target};
 use crate::units::{Millis, Offset};
@@ -14,11 +18,6 @@
 const EJECTED_SHARE: usize = 50;
 /// A load report older than this counts for nothing.
 const REPORT_KEEP: Millis = Millis(5_000);
-/// A target up to this many times slower than the middle one counts as average: what is below is
-/// mostly load that all routers see alike, and would all answer by going elsewhere together.
-const SLOWNESS_MIN: f64 = 3.0;
-/// A target this many times slower than the middle one counts as that slow, not more.
-const SLOWNESS_MAX: f64 = 20.0;
 
 /// What a request asks of a target.
 #[derive(Clone, Debug)]
@@ -27,8 +26,6 @@
     pub kind: Kind,
     /// Model or service name.
     pub serves: &'a str,
-    /// Hashes of the prompt's blocks.
-    pub blocks: &'a [u64],
     /// Targets that this request has tried.
     pub tried: &'a [TargetKey],
 }
@@ -47,8 +44,6 @@
 /// A target with what is known of it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Its name.
-    pub name: String,
     /// Version of its object.
     pub fence: Offset,
     /// Its object.
@@ -86,19 +81,9 @@
     members: Vec<Member>,
     names: HashMap<String, TargetKey>,
     groups: BTreeMap<(Kind, String), Vec<TargetKey>>,
-    view: View,
-    policy: Policy,
 }
 
 impl Pool {
-    /// An empty pool.
-    pub fn new(policy: Policy) -> Self {
-        Self {
-            policy,
-            ..Self::default()
-        }
-    }
-
     /// Takes over the targets in force: name, version, object. Those no longer named get no work,
     /// but keep their place for the requests that they still have.
     pub fn update<'a>(&mut self, targets: impl Iterator<Item = (&'a str, Offset, &'a Target)>) {
@@ -125,7 +110,6 @@
         }
         let key = TargetKey(u32::try_from(self.members.len()).expect("fewer than 2^32 targets"));
         self.members.push(Member {
-            name: name.to_owned(),
             fence: Offset::ZERO,
             spec: target.clone(),
             in_flight: 0,
@@ -195,16 +179,11 @@
         member.reported = Some(now);
     }
 
-    /// A target's cache events.
-    pub fn cached(&mut self, now: Millis, key: TargetKey, stored: &[u64], evicted: &[u64]) {
-        self.view.stored(now, key, stored);
-        self.view.evicted(key, evicted);
-    }
-
     /// Chooses a target with a free slot; `None` where there is none now.
     pub fn choose<R: Rng>(&self, now: Millis, want: &Want<'_>, rng: &mut R) -> Option<Choice> {
         let candidates = self.candidates(now, want);
-        let target = self.policy.choose(&candidates, want.blocks.len(), rng)?;
+        let (a, b) = (draw(&candidates, rng)?, draw(&candidates, rng)?);
+        let target = less_loaded(a, b, rng);
         let member = self.member(target);
         Some(Choice {
             target,
@@ -215,7 +194,6 @@
 
     fn candidates(&self, now: Millis, want: &Want<'_>) -> Vec<Candidate> {
         let group = self.group(want.kind, want.serves);
-        let middle = self.middle_first(group);
         let fits = |key: &&TargetKey| {
             let member = self.member(**key);
             !member.is_leaving()
@@ -223,43 +201,19 @@
                 && member.has_slot(now)
                 && !want.tried.contains(*key)
         };
-        let reads_cache = self.policy.reads_cache();
         let candidate = |key: &TargetKey| {
             let member = self.member(*key);
-            let cached = if reads_cache {
-                self.view.depth(now, *key, want.blocks)
-            } else {
-                0
-            };
             Candidate {
                 target: *key,
-                load: member.load(now),
-                slots: f64::from(member.spec.slots.max(1)),
-                cached,
-                slowness: slowness(member.health.first(), middle),
+                busy: member.load(now) / f64::from(member.spec.slots.max(1)),
             }
         };
         group.iter().filter(fits).map(candidate).collect()
     }
 
-    /// The middle of the group's average times to the first token.
-    fn middle_first(&self, group: &[TargetKey]) -> Option<f64> {
-        let firsts = group.iter().map(|key| self.member(*key).health.first());
-        let mut firsts: Vec<f64> = firsts.flatten().collect();
-        if firsts.is_empty() {
-            return None;
-        }
-        let middle = firsts.len() / 2;
-        let (_, middle, _) = firsts.select_nth_unstable_by(middle, f64::total_cmp);
-        Some(*middle)
-    }
-
     /// A request goes to a target.
-    pub fn dispatched(&mut self, now: Millis, key: TargetKey, blocks: &[u64]) {
+    pub fn dispatched(&mut self, key: TargetKey) {
         self.members[key.0 as usize].in_flight += 1;
-        if self.policy.reads_cache() {
-            self.view.stored(now, key, blocks);
-        }
     }
 
     /// A request has come back from a target.
@@ -299,18 +253,29 @@
             })
             .sum()
     }
+}
 
-    /// Blocks that the cache view remembers.
-    pub fn cached_blocks(&self) -> usize {
-        self.view.len()
-    }
+/// A target that may be chosen.
+#[derive(Clone, Copy, Debug)]
+struct Candidate {
+    target: TargetKey,
+    /// Requests that it is thought to have, as a share of its slots.
+    busy: f64,
 }
 
-fn slowness(first: Option<f64>, middle: Option<f64>) -> f64 {
-    match (first, middle) {
-        (Some(first), Some(middle)) if first > middle.max(1.0) * SLOWNESS_MIN => {
-            (first / middle.max(1.0)).min(SLOWNESS_MAX)
-        }
-        _ => 1.0,
+fn draw<R: Rng>(candidates: &[Candidate], rng: &mut R) -> Option<Candidate> {
+    if candidates.is_empty() {
+        return None;
     }
+    Some(candidates[rng.random_range(0..candidates.len())])
+}
+
+/// The less loaded of two; a tie is drawn, lest all routers agree on the first.
+fn less_loaded<R: Rng>(a: Candidate, b: Candidate, rng: &mut R) -> TargetKey {
+    let takes_second = match b.busy.total_cmp(&a.busy) {
+        std::cmp::Ordering::Less => true,
+        std::cmp::Ordering::Equal => rng.random_range(0..=1) == 0,
+        std::cmp::Ordering::Greater => false,
+    };
+    if takes_second { b.target } else { a.target }
 }
