--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -9,10 +9,10 @@
 use super::settings::Checker;
 use super::{Adapter, Command, Error, Result, dropped_lines, parse, start_output_logs};
 use crate::gateway;
+use crate::gateway::decision::retry;
 use crate::gateway::escrow::{Role, Sizing};
-use crate::gateway::fleet::Settings;
 use crate::gateway::members::Router;
-use crate::gateway::retry;
+use crate::gateway::state::Settings;
 use crate::units::Millis;
 
 pub const ABOUT: &str = "Runs a router towards callers that speak the deployment's dialect, until
--- a/src/gateway/ticket.rs
+++ b/src/gateway/attempt.rs
@@ -6,8 +6,8 @@
 
 use super::control::Message;
 use super::dialect::Load;
-use super::fleet::{Arrival, Ending, Go, Handed, Job, Refusal};
-use crate::health::Outcome;
+use super::state::{Arrival, Ending, Go, Handed, Job, Refusal};
+use crate::ejection::Outcome;
 use crate::units::Tokens;
 
 /// Asks the control state.
--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{Instant, sleep, timeout};
 
-use super::{Control, ledger};
+use super::{Control, grants};
 use crate::gateway::members::{Router, Source};
 use crate::gateway::target::{Change, View};
 use crate::store::{CallError, KEY_MAX, Page, Partition, Patience, Record, Topic, hedge};
@@ -118,7 +118,7 @@
             continue;
         };
         let name = &customer.name;
-        let key_length = ledger::row_key(name, &fleet.members.me.name).len();
+        let key_length = grants::row_key(name, &fleet.members.me.name).len();
         if key_length > KEY_MAX {
             // Without rows it has no grants, so its requests are refused.
             tracing::error!(event = "customer_name_too_long", customer = %name, key_length);
@@ -135,7 +135,7 @@
         customers = config.customers().len()
     );
     control.shared.set_config(config, bytes.clone());
-    ledger::start_shards(control);
+    grants::start_shards(control);
 }
 
 /// Follows the list of targets.
--- a/src/gateway/control/link.rs
+++ b/src/gateway/control/link.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep};
 
-use super::{Control, follow, ledger, retry_waiting, waiting};
+use super::{Control, follow, grants, retry_waiting, waiting};
 use crate::gateway::escrow::Loan;
 use crate::gateway::members::{Router, Source};
 use crate::gateway::target::{Outstanding, View};
@@ -152,7 +152,7 @@
             let (lacking, wanted) = (loan.lacking.0, loan.wanted.0);
             tracing::info!(event = "lent", %customer, lacking, wanted, lent = lent.0);
             if lent < loan.lacking && control.shared.store_answers() {
-                ledger::hurry(control, &customer);
+                grants::hurry(control, &customer);
             }
             Answer::Lent(lent)
         }
@@ -286,7 +286,7 @@
     control.borrowing.borrow_mut().remove(&customer);
     let is_short = loan(&control, &customer).is_some();
     if is_short && then == Then::AskStore && control.shared.store_answers() {
-        ledger::hurry(&control, &customer);
+        grants::hurry(&control, &customer);
     }
 }
 
--- a/src/gateway/control.rs
+++ b/src/gateway/control/mod.rs
@@ -2,7 +2,7 @@
 //! store.
 
 mod follow;
-mod ledger;
+mod grants;
 mod link;
 
 pub use link::{Answer, Beat, Question};
@@ -19,8 +19,8 @@
 
 use super::dialect::{Dialect, Load};
 use super::escrow::Role;
-use super::fleet::{Arrival, Ending, Fleet, Go, Handed, Job, Refusal, Settings, Ticket};
 use super::shared::Shared;
+use super::state::{Arrival, Ending, Fleet, Go, Handed, Job, Refusal, Settings, Ticket};
 use crate::store::Store;
 use crate::units::{Millis, Tokens};
 use crate::wire;
@@ -225,7 +225,7 @@
         Message::Close { done } => {
             let control = Rc::clone(control);
             tokio::task::spawn_local(async move {
-                ledger::give_back(&control).await;
+                grants::give_back(&control).await;
                 let _ = done.send(());
             });
         }
@@ -294,7 +294,7 @@
 /// Has the grant renewed that a request waits for.
 fn hurry(control: &Control, job: &Job) {
     if let Some((customer, _)) = &job.payer {
-        ledger::hurry(control, customer);
+        grants::hurry(control, customer);
     }
 }
 
--- /dev/null
+++ b/src/gateway/decision/mod.rs
@@ -0,0 +1,3 @@
+//! The rules that decide what becomes of a request.
+
+pub mod retry;
--- /dev/null
+++ b/src/gateway/escrow/mod.rs
@@ -0,0 +1,5 @@
+//! Prepaid budgets, shared by escrow.
+
+mod account;
+
+pub use account::*;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -12,17 +12,17 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
+use super::attempt::Ticket;
 use super::body::{self, Body};
 use super::dialect::{Ask, Order, Told};
 use super::failure::{Failure, Verdict};
-use super::fleet::{Arrival, Job, Refusal};
 use super::relay::{Relay, remove_hop_headers};
 use super::reply::Reason;
 use super::shared::Active;
+use super::state::{Arrival, Job, Refusal};
 use super::stream::Flow;
-use super::ticket::Ticket;
+use crate::ejection::Outcome;
 use crate::gateway::route::{Config, Kind, Route};
-use crate::health::Outcome;
 use crate::net::{self, Line};
 use crate::units::Millis;
 
--- a/src/gateway/failure.rs
+++ b/src/gateway/failure.rs
@@ -1,10 +1,10 @@
 //! Tries that brought no answer, and what that says of the request and of the target.
 
+use super::attempt::Ticket;
 use super::dialect::Told;
-use super::fleet::Arrival;
 use super::reply::Reason;
-use super::ticket::Ticket;
-use crate::health::Outcome;
+use super::state::Arrival;
+use crate::ejection::Outcome;
 
 /// Whether a try may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,29 +1,29 @@
 //! A gateway: the router process towards callers that speak a deployment's own dialect.
 //!
-//! [`fleet`] decides, on the control thread; `relay`, `exchange` and `stream` carry bytes, on the
+//! [`state`] decides, on the control thread; `relay`, `exchange` and `stream` carry bytes, on the
 //! traffic thread. What a
 //! deployment calls things is the business of its [`Dialect`] and of its [`Store`](crate::store::Store).
 
+mod attempt;
 pub mod body;
 pub mod control;
+pub mod decision;
 pub mod dialect;
 pub mod escrow;
 mod exchange;
 mod failure;
-pub mod fleet;
-mod front;
+mod listener;
 pub mod members;
 pub mod metrics;
 mod process;
 mod relay;
 mod reply;
-pub mod retry;
 pub mod route;
 pub mod shared;
 mod sse;
+pub mod state;
 mod stream;
 pub mod target;
-mod ticket;
 
 pub use dialect::{Ask, BadHeader, Dialect, Listing, Load, Order, Part, Prompt, Told};
 pub use process::{Options, run};
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -8,13 +8,13 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout};
 
+use super::attempt::Desk;
 use super::control::{self, Message};
 use super::dialect::Dialect;
-use super::fleet::Settings;
-use super::front::{Door, serve};
+use super::listener::{Door, serve};
 use super::relay::Relay;
 use super::shared::{Shared, Stop};
-use super::ticket::Desk;
+use super::state::Settings;
 use crate::net::Pool;
 use crate::store::Store;
 use crate::units::Millis;
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -9,12 +9,12 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
+use super::attempt::Desk;
 use super::body::Body;
 use super::dialect::{Ask, Dialect, Told};
 use super::exchange::Exchange;
 use super::reply::Reason;
 use super::shared::{Active, Shared};
-use super::ticket::Desk;
 use crate::net::{self, Line, Pool};
 
 /// Longest wait for a connection to a target.
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -4,7 +4,7 @@
 
 use super::body::Body;
 use super::dialect::Dialect;
-use super::fleet::Refusal;
+use super::state::Refusal;
 use crate::units::Millis;
 
 /// Why a request was not passed on, or has no answer.
--- a/src/gateway/fleet.rs
+++ b/src/gateway/state/mod.rs
@@ -9,12 +9,12 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
+use super::decision::retry::{self, Budget};
 use super::dialect::{Load, Prompt};
 use super::escrow::{Account, Ledger, Sizing};
 use super::members::{Members, Router};
-use super::retry::{self, Budget};
 use super::target::{Key, Targets};
-use crate::health::Outcome;
+use crate::ejection::Outcome;
 use crate::units::{Millis, Tokens};
 
 /// Settings of the control state.
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -10,13 +10,13 @@
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
+use super::attempt::Ticket;
 use super::body::{Body, Broken};
 use super::dialect::Told;
 use super::exchange::{Answer, Exchange, outcome, streamed};
 use super::failure::Failure;
 use super::reply::Reason;
 use super::sse::Events;
-use super::ticket::Ticket;
 use crate::net::Line;
 use crate::units::Tokens;
 
--- /dev/null
+++ b/src/gateway/target/mod.rs
@@ -0,0 +1,5 @@
+//! The targets as this router sees them.
+
+mod registry;
+
+pub use registry::*;
--- a/src/gateway/target.rs
+++ b/src/gateway/target/registry.rs
@@ -9,8 +9,8 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::dialect::{Listing, Load, Part, Prompt};
-use crate::health::{Health, Outcome};
+use crate::ejection::{Health, Outcome};
+use crate::gateway::dialect::{Listing, Load, Part, Prompt};
 use crate::units::Millis;
 
 /// A target; keys are not used again within a process.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP/1.1 connections to targets and to the platform's store, one request at a time on each.
 
-mod line;
+mod connection;
 mod pool;
 
-pub use line::{Line, Request, Response, SendError, open};
+pub use connection::{Line, Request, Response, SendError, open};
 pub use pool::Pool;
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::job::{Job, Settling, Stage};
 use super::{Action, End, State};
-use crate::health::Outcome;
+use crate::ejection::Outcome;
 use crate::router::intent::Kind;
 use crate::router::message::Ask;
 use crate::router::request::{Id, Reason, Ticket, Verdict, Waiting};
--- a/src/router/target/pool.rs
+++ b/src/router/target/pool.rs
@@ -10,7 +10,7 @@
 use rand::{Rng, RngExt};
 
 use super::TargetKey;
-use crate::health::{Health, Outcome};
+use crate::ejection::{Health, Outcome};
 use crate::router::intent::{Kind, Target};
 use crate::units::{Millis, Offset};
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -4,9 +4,9 @@
 //! back; nothing here retries.
 
 pub mod hedge;
-mod patience;
+mod timeout;
 
-pub use patience::Patience;
+pub use timeout::Patience;
 
 use std::time::Duration;
 
--- a/tests/target_choice.rs
+++ b/tests/target_choice.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use lanedeck::health::Outcome;
+use lanedeck::ejection::Outcome;
 use lanedeck::router::intent::{Kind, Target};
 use lanedeck::router::target::{Pool, TargetKey, Want};
 use lanedeck::units::{Millis, Offset, Tokens};
--- a/tests/target_view.rs
+++ b/tests/target_view.rs
@@ -1,8 +1,8 @@
 //! The targets as a gateway sees them: who may get work, and where it goes.
 
+use lanedeck::ejection::Outcome;
 use lanedeck::gateway::target::{Key, Targets};
 use lanedeck::gateway::{Listing, Part, Prompt};
-use lanedeck::health::Outcome;
 use lanedeck::units::{Millis, Tokens};
 
 const NOW: Millis = Millis(1_000_000);
