--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -9,8 +9,8 @@
 use super::settings::Checker;
 use super::{Adapter, Command, Error, Result, dropped_lines, parse, start_output_logs};
 use crate::gateway;
-use crate::gateway::decision::retry;
-use crate::gateway::escrow::{Role, Sizing};
+use crate::gateway::decision::grant::Sizing;
+use crate::gateway::decision::retry::Bound;
 use crate::gateway::members::Router;
 use crate::gateway::state::Settings;
 use crate::units::Millis;
@@ -195,7 +195,7 @@
     directory: SocketAddr,
     metrics: SocketAddr,
     store: SocketAddr,
-    keep: Millis,
+    address_ttl: Millis,
     grace: Millis,
     fleet_key: String,
     partitions: u32,
@@ -222,7 +222,7 @@
     let store = c.address("store", &args.store);
     let hall = c.name("hall", &args.hall);
     let heartbeat = c.span("heartbeat", &args.heartbeat, 50.0, 60_000.0);
-    let keep = c.span("keep", &args.keep, 100.0, 600_000.0);
+    let address_ttl = c.span("keep", &args.keep, 100.0, 600_000.0);
     let grace = c.span("grace", &args.grace, 1_000.0, 3_600_000.0);
     let ratio = number(c, "repeat-ratio", &args.repeat_ratio, 0.0, 10.0);
     let window = c.span("repeat-window", &args.repeat_window, 100.0, 600_000.0);
@@ -250,13 +250,13 @@
             link: link?,
             hall: hall?,
             is_ready: false,
-            beat: 0,
+            heartbeat: 0,
         };
         Some(Checked {
             settings: Settings {
                 me,
                 heartbeat: heartbeat?,
-                repeats: retry::Bound {
+                retries: Bound {
                     ratio: ratio?,
                     window: window?,
                     extra: extra?,
@@ -267,7 +267,6 @@
                     share: share?,
                     spread: spread?,
                     holders: holders?,
-                    role: Role::Holder,
                 },
                 seed: rand::rng().random(),
             },
@@ -275,7 +274,7 @@
             directory: directory?,
             metrics: metrics?,
             store: store?,
-            keep: keep?,
+            address_ttl: address_ttl?,
             grace: grace?,
             fleet_key: args.fleet_key.clone(),
             partitions: partitions?,
@@ -339,7 +338,7 @@
         ready,
         directory,
         metrics: Some(metrics),
-        keep: checked.keep,
+        address_ttl: checked.address_ttl,
         grace: checked.grace,
         dialect,
         store,
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -19,7 +19,7 @@
 use gumdrop::Options;
 use snafu::Snafu;
 
-use crate::gateway::Dialect;
+use crate::gateway::dialect::Dialect;
 use crate::store::Store;
 
 const ABOUT: &str = "lanedeck: a router fleet for prepaid token budgets
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -1,74 +1,85 @@
-//! How a target has behaved towards this router.
+//! When a target that fails gets no more requests for a while.
 //!
-//! A target that fails fast has few requests in flight and would attract ever more, so failures
-//! count against it by share and eject it for a while.
+//! A target that fails fast has few requests in flight and would attract ever more, so its failures
+//! count by share and in a row, and eject it. The ejection doubles each time, and ends by itself: the
+//! next requests show whether the target is back. Part of each group stays in use whatever happens,
+//! since where all fail the fault is seldom the targets'. Both kinds of router judge by this.
 
 use crate::units::Millis;
 
-/// Weight of the newest sample in the running averages.
+/// Weight of the newest outcome in the running averages, 0 to 1. Not measured.
 const NEWEST: f64 = 0.2;
-/// Share of failures above which a target is ejected, once there are enough outcomes.
+/// Share of failures above which a target is ejected, once there are enough outcomes. Not measured.
 const FAILURES_MAX: f64 = 0.4;
-/// Fewest outcomes before the share is judged.
+/// Fewest outcomes before the share is judged. Not measured.
 const OUTCOMES_MIN: u32 = 8;
-/// Failures in a row that eject a target.
-const ROW_MAX: u32 = 3;
-/// First ejection; it doubles with each that follows.
-const EJECTED_FIRST: Millis = Millis(2_000);
-/// Longest ejection.
-const EJECTED_MAX: Millis = Millis(60_000);
+/// Failures in a row that eject a target. Not measured: fewer eject on chance.
+const FAILED_IN_A_ROW: u32 = 3;
+/// First ejection; it doubles with each that follows. Not measured.
+const EJECTION_FIRST: Millis = Millis(2_000);
+/// Longest ejection. Not measured.
+const EJECTION_MAX: Millis = Millis(60_000);
+/// Doublings after which an ejection has its longest time.
+const DOUBLINGS_MAX: u32 = 5;
+/// Part of a group that may be ejected at most, one in this many. Not measured.
+const GROUP_DIVISOR: usize = 2;
 
-/// How a request to a target ended, as far as the target is to be judged by it.
+/// How an attempt at a target ended, as far as the target is to be judged by it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// It answered.
     Answered {
-        /// Time to the end.
-        whole: Millis,
+        /// Time from the attempt's start to the answer's end.
+        took: Millis,
     },
-    /// It could not be reached, refused, broke off, or answered wrongly.
+    /// It could not be reached, refused, broke off, or answered with a failure.
     Failed,
 }
 
-/// Running judgement of one target.
+/// What is remembered of one target's outcomes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    failures: f64,
-    row: u32,
+    failure_share: f64,
+    failed_in_a_row: u32,
     outcomes: u32,
-    whole: Option<f64>,
+    mean_time: Option<f64>,
     ejected_until: Millis,
     ejections: u32,
 }
 
 impl Health {
-    /// Takes an outcome in. Whether the target should now be ejected is returned.
+    /// Takes an outcome in. Whether the target should be ejected, as far as it alone is concerned, is
+    /// returned; see [`leaves_enough`].
     pub fn note(&mut self, outcome: Outcome) -> bool {
         self.outcomes = self.outcomes.saturating_add(1);
         match outcome {
-            Outcome::Answered { whole } => {
-                self.failures *= 1.0 - NEWEST;
-                self.whole = Some(average(self.whole, whole));
-                self.row = 0;
+            Outcome::Answered { took } => {
+                self.failure_share *= 1.0 - NEWEST;
+                self.mean_time = Some(average(self.mean_time, took));
+                self.failed_in_a_row = 0;
                 self.ejections = 0;
                 false
             }
             Outcome::Failed => {
-                self.failures = self.failures * (1.0 - NEWEST) + NEWEST;
-                self.row += 1;
-                let by_share = self.outcomes >= OUTCOMES_MIN && self.failures > FAILURES_MAX;
-                by_share || self.row >= ROW_MAX
+                self.failure_share = self.failure_share * (1.0 - NEWEST) + NEWEST;
+                self.failed_in_a_row += 1;
+                self.fails_too_often()
             }
         }
     }
 
+    fn fails_too_often(&self) -> bool {
+        let by_share = self.outcomes >= OUTCOMES_MIN && self.failure_share > FAILURES_MAX;
+        by_share || self.failed_in_a_row >= FAILED_IN_A_ROW
+    }
+
     /// Ejects the target for a while.
     pub fn eject(&mut self, now: Millis) {
-        let doubled = EJECTED_FIRST.0 << self.ejections.min(5);
-        self.ejected_until = now + Millis(doubled).min(EJECTED_MAX);
+        let doubled = EJECTION_FIRST.0 << self.ejections.min(DOUBLINGS_MAX);
+        self.ejected_until = now + Millis(doubled).min(EJECTION_MAX);
         self.ejections += 1;
-        self.failures = 0.0;
-        self.row = 0;
+        self.failure_share = 0.0;
+        self.failed_in_a_row = 0;
         self.outcomes = 0;
     }
 
@@ -77,12 +88,17 @@
         now < self.ejected_until
     }
 
-    /// Average time of a whole request, in milliseconds, once there is one.
-    pub fn whole(&self) -> Option<f64> {
-        self.whole
+    /// Average time of an answer in milliseconds, once there is one.
+    pub fn mean_time(&self) -> Option<f64> {
+        self.mean_time
     }
 }
 
+/// Whether one more target of a group may be ejected, of which so many are.
+pub fn leaves_enough(ejected: usize, group: usize) -> bool {
+    (ejected + 1) * GROUP_DIVISOR <= group
+}
+
 fn average(old: Option<f64>, sample: Millis) -> f64 {
     let sample = sample.0 as f64;
     old.map_or(sample, |old| old * (1.0 - NEWEST) + sample * NEWEST)
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,130 +1,183 @@
-//! The traffic's side of the control state: a request's place there, given up when dropped.
+//! The traffic's side of the control state: the questions that it asks, and its hold on an attempt.
 
 use std::time::Duration;
 
 use tokio::sync::{mpsc, oneshot};
 
-use super::control::Message;
+use super::decision::refusal::Refusal;
+use super::decision::retry::Charge;
 use super::dialect::Load;
-use super::state::{Arrival, Ending, Go, Handed, Job, Refusal};
+use super::job::{Delivery, Ending, Job, JobKey, Placement};
 use crate::ejection::Outcome;
 use crate::units::Tokens;
 
-/// Asks the control state.
+/// Where an answer to a question goes.
+pub type Reply = oneshot::Sender<Result<Placement, Refusal>>;
+
+/// What the traffic asks of the control thread, and tells it.
+#[derive(Debug)]
+pub enum Message {
+    /// May this request run, and where?
+    Begin {
+        /// The request.
+        job: Job,
+        /// Longest wait for a grant.
+        wait: Duration,
+        /// Takes the answer.
+        reply: Reply,
+    },
+    /// An attempt has failed: may there be another, and where?
+    Retry {
+        /// The request.
+        job: JobKey,
+        /// The end of the attempt.
+        ending: Ending,
+        /// Whether the retry is charged to the retry budget.
+        charge: Charge,
+        /// Takes the answer.
+        reply: Reply,
+    },
+    /// A target has begun to answer.
+    Answered {
+        /// The request.
+        job: JobKey,
+        /// The load that the target reported.
+        load: Option<Load>,
+    },
+    /// A request has ended.
+    End {
+        /// The request.
+        job: JobKey,
+        /// How.
+        ending: Ending,
+    },
+    /// The process is stopping: callers are to go elsewhere.
+    Leave,
+    /// Nothing runs any more: give grants back.
+    Close {
+        /// Told when that is done.
+        done: oneshot::Sender<()>,
+    },
+}
+
+/// Asks the control thread.
 #[derive(Clone, Debug)]
-pub struct Desk(mpsc::UnboundedSender<Message>);
+pub struct Controller(mpsc::UnboundedSender<Message>);
 
-/// A request that is under way. Dropped without an end, its caller has left.
+/// An attempt under way. Dropped without an end, its caller has left.
 #[derive(Debug)]
-pub struct Ticket {
-    desk: Desk,
-    go: Go,
-    handed: Handed,
-    ended: bool,
+pub struct Attempt {
+    controller: Controller,
+    placement: Placement,
+    delivery: Delivery,
+    has_ended: bool,
 }
 
-impl Desk {
+impl Controller {
     /// The asking side of a channel.
     pub fn new(sender: mpsc::UnboundedSender<Message>) -> Self {
         Self(sender)
     }
 
-    /// Tells the control state something. Where it has ended, the process is about to.
+    /// Tells the control thread something.
     pub fn tell(&self, message: Message) {
+        // The thread only ends with the process, which then answers nobody any more.
         let _ = self.0.send(message);
     }
 
-    /// Asks whether a request may run.
+    /// Starts a request.
     ///
     /// # Errors
-    /// Why it may not.
-    pub async fn begin(&self, job: Job, wait: Duration) -> Result<Ticket, Refusal> {
+    /// Why it does not run.
+    pub async fn begin(&self, job: Job, wait: Duration) -> Result<Attempt, Refusal> {
         let (reply, answer) = oneshot::channel();
         self.tell(Message::Begin { job, wait, reply });
-        let go = answer.await.unwrap_or(Err(Refusal::NoTarget))?;
-        Ok(Ticket {
-            desk: self.clone(),
-            go,
-            handed: Handed::Nothing,
-            ended: false,
+        self.attempt(answer).await
+    }
+
+    async fn attempt(
+        &self,
+        answer: oneshot::Receiver<Result<Placement, Refusal>>,
+    ) -> Result<Attempt, Refusal> {
+        // Without an answer the process is ending.
+        let placement = answer.await.unwrap_or(Err(Refusal::NoTarget))?;
+        Ok(Attempt {
+            controller: self.clone(),
+            placement,
+            delivery: Delivery::Nothing,
+            has_ended: false,
         })
     }
 }
 
-impl Ticket {
-    /// Where the request goes.
-    pub fn go(&self) -> &Go {
-        &self.go
+impl Attempt {
+    /// Where it goes.
+    pub fn placement(&self) -> &Placement {
+        &self.placement
     }
 
-    /// Notes that something of the answer is handed to the caller from now on.
-    pub fn hand_out(&mut self) {
-        self.handed = Handed::Most;
+    /// Notes that some of the answer is delivered from now on.
+    pub fn deliver_some(&mut self) {
+        self.delivery = Delivery::Uncounted;
     }
 
-    /// Notes that the answer was handed out to its end, with so many tokens.
-    pub fn handed_out(&mut self, tokens: Tokens) {
-        self.handed = Handed::Out(tokens);
+    /// Notes that the answer was delivered to its end, with so many tokens.
+    pub fn deliver_all(&mut self, tokens: Tokens) {
+        self.delivery = Delivery::Counted(tokens);
     }
 
-    /// Asks where to go after a try without an answer; `outcome` is how it judges the target.
+    /// Ends this attempt and starts another; `outcome` is how its target is judged.
     ///
     /// # Errors
-    /// Why it goes nowhere.
-    pub async fn again(
+    /// Why there is none; the request has then ended.
+    pub async fn retry(
         mut self,
         outcome: Option<Outcome>,
-        arrival: Arrival,
+        charge: Charge,
     ) -> Result<Self, Refusal> {
         let (reply, answer) = oneshot::channel();
-        self.ended = true;
-        self.desk.tell(Message::Again {
-            ticket: self.go.ticket,
+        self.has_ended = true;
+        self.controller.tell(Message::Retry {
+            job: self.placement.job,
             ending: self.ending(outcome),
-            arrival,
+            charge,
             reply,
         });
-        let go = answer.await.unwrap_or(Err(Refusal::NoTarget))?;
-        Ok(Self {
-            desk: self.desk.clone(),
-            go,
-            handed: Handed::Nothing,
-            ended: false,
-        })
+        self.controller.attempt(answer).await
     }
 
     fn ending(&self, outcome: Option<Outcome>) -> Ending {
         Ending {
             outcome,
-            handed: self.handed,
+            delivery: self.delivery,
         }
     }
 
     /// Tells that the target has begun to answer.
     pub fn answered(&self, load: Option<Load>) {
-        self.desk.tell(Message::Answered {
-            ticket: self.go.ticket,
+        self.controller.tell(Message::Answered {
+            job: self.placement.job,
             load,
         });
     }
 
-    /// Tells that the request has ended, and how its target is judged by it.
+    /// Ends the request; `outcome` is how its last target is judged.
     pub fn end(mut self, outcome: Option<Outcome>) {
         self.finish(outcome);
     }
 
     fn finish(&mut self, outcome: Option<Outcome>) {
-        self.ended = true;
-        self.desk.tell(Message::End {
-            ticket: self.go.ticket,
+        self.has_ended = true;
+        self.controller.tell(Message::End {
+            job: self.placement.job,
             ending: self.ending(outcome),
         });
     }
 }
 
-impl Drop for Ticket {
+impl Drop for Attempt {
     fn drop(&mut self) {
-        if !self.ended {
+        if !self.has_ended {
             self.finish(None);
         }
     }
--- a/src/gateway/body.rs
+++ b/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: whole, or as they come.
+//! Bodies of answers: complete, or as they come.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -16,16 +16,16 @@
 
 /// A body.
 pub enum Body {
-    /// All of it.
-    Whole(Option<Bytes>),
+    /// All of it, until it has been taken.
+    Full(Option<Bytes>),
     /// As it comes.
     Stream(BoxStream<'static, Result<Bytes, Broken>>),
 }
 
 impl Body {
-    /// A whole body.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Some(bytes.into()))
+    /// A complete body.
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
+        Self::Full(Some(bytes.into()))
     }
 }
 
@@ -38,7 +38,7 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         match self.get_mut() {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
                 Poll::Ready(bytes.map(|bytes| Ok(Frame::data(bytes))))
             }
@@ -51,14 +51,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            Self::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(bytes) => {
+            Self::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
             Self::Stream(_) => SizeHint::default(),
--- /dev/null
+++ b/src/gateway/control/apply.rs
@@ -0,0 +1,149 @@
+//! Takes what was read from the store, or told by other routers, into the control state. It logs each
+//! change of what this router believes.
+
+use std::collections::HashSet;
+
+use bytes::Bytes;
+
+use super::context::Control;
+use super::grants;
+use crate::gateway::members::{Router, Source};
+use crate::gateway::target::{Change, View};
+use crate::store::{KEY_MAX, Page, Record};
+use crate::util;
+
+/// Puts a configuration in force if it is newer than the one that is.
+pub(super) fn config(control: &std::rc::Rc<Control>, bytes: &Bytes) {
+    let config = match control.dialect.read_config(bytes) {
+        Ok(config) => config,
+        Err(error) => {
+            tracing::error!(event = "config_refused", %error);
+            return;
+        }
+    };
+    let known = control.shared.config.load();
+    let known = known.as_ref().map_or(0, |config| config.version);
+    if config.version <= known {
+        return;
+    }
+    let mut state = control.state.borrow_mut();
+    for customer in config.customers() {
+        let Some(prepaid) = customer.prepaid else {
+            continue;
+        };
+        let name = &customer.name;
+        let key_length = grants::row_key(name, &state.members.me.name).len();
+        if key_length > KEY_MAX {
+            // Without rows it has no grants, so its requests are refused.
+            tracing::error!(event = "customer_name_too_long", customer = %name, key_length);
+            continue;
+        }
+        state.set_prepaid(name, prepaid);
+    }
+    drop(state);
+    tracing::info!(
+        event = "config_in_force",
+        version = config.version,
+        before = known,
+        routes = config.routes().len(),
+        customers = config.customers().len()
+    );
+    control.shared.set_config(config, bytes.clone());
+    grants::spawn_renewals(control);
+}
+
+/// Takes in one entry of the list of targets.
+pub(super) fn target(control: &Control, record: &Record) {
+    let Some(value) = &record.value else {
+        remove_target(control, &record.key, "store");
+        return;
+    };
+    match control.dialect.read_listing(&record.key, value) {
+        Ok(listing) => {
+            let instance = listing.instance.clone();
+            let change = control.state.borrow_mut().targets.list(listing);
+            log_change(&instance, change, "store");
+        }
+        Err(error) => tracing::warn!(event = "listing_refused", key = %record.key, %error),
+    }
+}
+
+/// Takes the complete list of targets in. Those that it lacks are removed if `drop_absent`; whether
+/// none was left on for that is returned.
+pub(super) fn all_targets(control: &Control, page: &Page, drop_absent: bool) -> bool {
+    for record in &page.records {
+        target(control, record);
+    }
+    let listed: HashSet<&str> = page
+        .records
+        .iter()
+        .map(|record| record.key.as_str())
+        .collect();
+    let state = control.state.borrow();
+    let absent: Vec<String> = state
+        .targets
+        .listed()
+        .map(|target| target.listing.instance.clone())
+        .filter(|instance| !listed.contains(instance.as_str()))
+        .collect();
+    drop(state);
+    if !drop_absent {
+        return absent.is_empty();
+    }
+    for instance in absent {
+        remove_target(control, &instance, "store");
+    }
+    true
+}
+
+/// Takes in another router's list of targets, while this one is cut off from the store.
+pub(super) fn peer_targets(control: &Control, view: View) {
+    for instance in view.gone {
+        remove_target(control, &instance, "link");
+    }
+    for listing in view.listed {
+        let instance = listing.instance.clone();
+        let change = control.state.borrow_mut().targets.list_from_peer(listing);
+        log_change(&instance, change, "link");
+    }
+    control.publish_target_addresses();
+}
+
+fn remove_target(control: &Control, instance: &str, source: &str) {
+    let now = control.now();
+    if control.state.borrow_mut().targets.unlist(now, instance) {
+        tracing::info!(event = "target_removed", %instance, source);
+    }
+}
+
+fn log_change(instance: &str, change: Change, source: &str) {
+    if change != Change::Same {
+        tracing::info!(event = "target_changed", %instance, ?change, source);
+    }
+}
+
+/// Takes in another router's entry in the store. An entry that is removed changes nothing: its router
+/// counts as dead once its heartbeats are missed.
+pub(super) fn router(control: &Control, record: &Record) {
+    let Some(value) = &record.value else {
+        return;
+    };
+    match util::decode(value) {
+        Some(router) => {
+            heartbeat(control, router, Source::Store);
+        }
+        None => tracing::warn!(event = "router_unreadable", key = %record.key, bytes = value.len()),
+    }
+}
+
+/// Takes in another router's heartbeat; whether something changed that others depend on.
+pub(super) fn heartbeat(control: &Control, router: Router, source: Source) -> bool {
+    let (name, is_ready) = (router.name.clone(), router.is_ready);
+    let now = control.now();
+    let mut state = control.state.borrow_mut();
+    let is_change = state.members.update(now, router, source);
+    if is_change {
+        tracing::info!(event = "peer_changed", %name, is_ready, ?source);
+    }
+    is_change
+}
--- /dev/null
+++ b/src/gateway/control/context.rs
@@ -0,0 +1,107 @@
+//! What the tasks of the control thread share.
+
+use std::cell::RefCell;
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+use std::sync::Arc;
+use std::time::Duration;
+
+use tokio::sync::Notify;
+use tokio::time::Instant;
+use xxhash_rust::xxh3::xxh3_64;
+
+use super::waiting::Queue;
+use crate::gateway::dialect::Dialect;
+use crate::gateway::shared::Shared;
+use crate::gateway::state::State;
+use crate::gateway::target::Outstanding;
+use crate::store::Store;
+use crate::units::Millis;
+use crate::wire;
+
+/// How long another router's outstanding requests count after it told of them. Not measured: four of
+/// its heartbeats.
+const LOAD_BELIEVED: Duration = Duration::from_millis(1_200);
+
+/// Start of the control state's clock. Times before the start are needed for differences, so it does
+/// not begin at zero.
+const CLOCK_START: u64 = 1_000_000;
+
+/// The control thread's state and its means.
+pub(super) struct Control {
+    pub(super) state: RefCell<State>,
+    /// Requests that wait for a grant.
+    pub(super) waiting: RefCell<Queue>,
+    /// Wakes the tasks that renew grants, by partition.
+    pub(super) renewals: RefCell<HashMap<u32, Rc<Notify>>>,
+    /// Partitions of the store that customers are spread over.
+    pub(super) partitions: u32,
+    pub(super) shared: Arc<Shared>,
+    pub(super) store: Arc<dyn Store>,
+    pub(super) dialect: Arc<dyn Dialect>,
+    /// Asks other routers.
+    pub(super) links: wire::Client,
+    /// What other routers have at which target.
+    pub(super) peer_loads: RefCell<PeerLoads>,
+    /// Customers for whom a loan is being asked for.
+    pub(super) borrowing: RefCell<HashSet<String>>,
+    pub(super) started: Instant,
+}
+
+impl Control {
+    /// The time of the control state's clock.
+    pub(super) fn now(&self) -> Millis {
+        let elapsed = u64::try_from(self.started.elapsed().as_millis());
+        Millis(CLOCK_START + elapsed.expect("a process runs for less than 2^64 milliseconds"))
+    }
+
+    /// Publishes where callers may connect.
+    pub(super) fn publish_caller_addresses(&self) {
+        let addresses = self.state.borrow().members.caller_addresses(self.now());
+        self.shared.set_caller_addresses(addresses);
+    }
+
+    /// Publishes where targets listen.
+    pub(super) fn publish_target_addresses(&self) {
+        let addresses = self.state.borrow().targets.addresses();
+        self.shared.set_target_addresses(addresses);
+    }
+
+    /// The partition that has a customer's rows.
+    pub(super) fn partition_of(&self, customer: &str) -> u32 {
+        let partition = xxh3_64(customer.as_bytes()) % u64::from(self.partitions.max(1));
+        u32::try_from(partition).expect("a remainder of a number of 32 bits")
+    }
+
+    /// Has a customer's grant renewed now, and not at the next interval.
+    pub(super) fn renew_now(&self, customer: &str) {
+        let partition = self.partition_of(customer);
+        if let Some(renewal) = self.renewals.borrow().get(&partition) {
+            renewal.notify_one();
+        }
+    }
+
+    /// Answers again what waits for a grant.
+    pub(super) fn retry_waiting(&self) {
+        let mut state = self.state.borrow_mut();
+        self.waiting.borrow_mut().retry(&mut state, self.now());
+    }
+}
+
+/// What other routers have at which target, by router.
+#[derive(Debug, Default)]
+pub(super) struct PeerLoads(HashMap<String, (Instant, Vec<Outstanding>)>);
+
+impl PeerLoads {
+    /// Replaces what a router has.
+    pub(super) fn set(&mut self, router: &str, outstanding: Vec<Outstanding>) {
+        self.0
+            .insert(router.to_owned(), (Instant::now(), outstanding));
+        self.0.retain(|_, (at, _)| at.elapsed() < LOAD_BELIEVED);
+    }
+
+    /// What all of them have.
+    pub(super) fn all(&self) -> impl Iterator<Item = &Outstanding> {
+        self.0.values().flat_map(|(_, outstanding)| outstanding)
+    }
+}
--- a/src/gateway/control/grants.rs
+++ b/src/gateway/control/grants.rs
@@ -1,34 +1,38 @@
-//! Keeps this router's rows of the prepaid budgets: reads what others wrote, and writes its own
-//! only where nothing has come in between.
+//! Renews this router's grants: reads the rows that others wrote to the store, and writes its own only
+//! where nothing has come in between.
 //!
-//! Customers are spread over the partitions of the topic, so that routers seldom write to the same
-//! one at the same time. Each partition in use has a task.
+//! Customers are spread over the partitions of the topic, so that routers seldom write to the same one
+//! at the same time. Each partition in use has a task, which owns its offset in the partition and the
+//! rows whose append was not answered. How large a grant should be is decided in
+//! [`grant`](crate::gateway::decision::grant).
 
+use std::collections::hash_map::Entry;
 use std::rc::Rc;
 use std::time::Duration;
 
 use rand::RngExt;
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout};
-use xxhash_rust::xxh3::xxh3_64;
 
-use super::{Control, borrow_for_waiting, link, retry_waiting, waiting};
+use super::context::Control;
+use super::loans;
 use crate::gateway::escrow::Row;
-use crate::store::{CallError, Page, Partition, Patience, Record, Topic, hedge};
+use crate::store::{CallError, Page, Partition, Record, Timeout, Topic, hedge};
 use crate::util;
 
-/// Between two looks while nobody waits.
-const GAP: Duration = Duration::from_millis(1_000);
-/// Between two looks while the store does not answer.
-const LOST_GAP: Duration = Duration::from_millis(250);
-/// Tries in a row where others write at the same time.
-const TRIES_MAX: u32 = 12;
-/// Longest pause after others have written first, in milliseconds.
-const CLASH_PAUSE_MS: u64 = 12;
-/// First looks of a process are spread over this time, in milliseconds.
+/// Interval of renewals while no request waits. Not measured.
+const INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval of renewals while the store does not answer. Not measured.
+const LOST_INTERVAL: Duration = Duration::from_millis(250);
+/// Pause after a renewal that failed. Not measured.
+const FAILED_PAUSE: Duration = Duration::from_millis(150);
+/// Conditional appends in a row that others may win. Not measured.
+const ATTEMPTS_MAX: u32 = 12;
+/// Longest pause after others have won, in milliseconds; drawn, so that the same do not meet again.
+const CONFLICT_PAUSE_MS: u64 = 12;
+/// The first renewals of a process are spread over this time, in milliseconds, since all routers may
+/// start at once.
 const START_SPREAD_MS: u64 = 1_000;
-/// Pause while the store does not answer.
-const RETRY_GAP: Duration = Duration::from_millis(150);
 /// Separates customer and router in a key.
 const SEPARATOR: char = '/';
 
@@ -37,24 +41,18 @@
     format!("{customer}{SEPARATOR}{router}")
 }
 
-/// The partition that has a customer's rows.
-fn number_of(customer: &str, partitions: u32) -> u32 {
-    let hash = xxh3_64(customer.as_bytes()) % u64::from(partitions.max(1));
-    u32::try_from(hash).expect("a remainder of a number of 32 bits")
-}
-
-/// One partition, and where its rows stand.
+/// The renewal of one partition's rows.
 #[derive(Debug)]
-struct Shard {
+struct Renewal {
     partition: Partition,
     /// The offset up to which rows are known.
     next: Option<u64>,
     /// Rows whose append was not answered.
-    unknown: Vec<(String, Row)>,
-    patience: Patience,
+    unanswered: Vec<(String, Row)>,
+    timeout: Timeout,
 }
 
-impl Shard {
+impl Renewal {
     fn new(number: u32) -> Self {
         Self {
             partition: Partition {
@@ -62,105 +60,101 @@
                 number,
             },
             next: None,
-            unknown: Vec::new(),
-            patience: Patience::default(),
+            unanswered: Vec::new(),
+            timeout: Timeout::default(),
         }
     }
 }
 
-/// What to write.
+/// What is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    /// Rows that are worth it.
+    /// Rows that are worth a call.
     Renew,
     /// All rows, without what is not used.
     GiveBack,
 }
 
-/// Sees to it that each partition with customers has its task.
-pub fn start_shards(control: &Rc<Control>) {
-    let customers = control.fleet.borrow().payers();
+/// Starts the task of each partition that has customers and no task yet.
+pub(super) fn spawn_renewals(control: &Rc<Control>) {
+    let customers = control.state.borrow().payers();
     for customer in customers {
-        let number = number_of(&customer, control.partitions);
-        let mut shards = control.shards.borrow_mut();
-        if let std::collections::hash_map::Entry::Vacant(vacant) = shards.entry(number) {
-            let urgent = Rc::new(Notify::new());
-            vacant.insert(Rc::clone(&urgent));
-            tokio::task::spawn_local(keep(Rc::clone(control), number, urgent));
+        let partition = control.partition_of(&customer);
+        let mut renewals = control.renewals.borrow_mut();
+        if let Entry::Vacant(vacant) = renewals.entry(partition) {
+            let now = Rc::new(Notify::new());
+            vacant.insert(Rc::clone(&now));
+            tokio::task::spawn_local(renew(Rc::clone(control), partition, now));
         }
     }
 }
 
-/// Has the rows of a customer looked at now.
-pub fn hurry(control: &Control, customer: &str) {
-    let number = number_of(customer, control.partitions);
-    if let Some(urgent) = control.shards.borrow().get(&number) {
-        urgent.notify_one();
-    }
-}
-
-/// Keeps the rows of a partition for as long as the process runs.
-async fn keep(control: Rc<Control>, number: u32, urgent: Rc<Notify>) {
-    let mut shard = Shard::new(number);
-    // Routers that start together do not all ask at once, unless a request waits.
+/// Renews a partition's rows for as long as the process runs; `now` has it do so at once.
+async fn renew(control: Rc<Control>, partition: u32, now: Rc<Notify>) {
+    let mut renewal = Renewal::new(partition);
     let delay = Duration::from_millis(rand::rng().random_range(0..START_SPREAD_MS));
-    let _ = timeout(delay, urgent.notified()).await;
-    loop {
-        if control.shared.is_closed() {
-            return;
-        }
-        let written = write(&control, &mut shard, Purpose::Renew).await;
+    wait(delay, &now).await;
+    while !control.shared.gives_back() {
+        let written = write(&control, &mut renewal, Purpose::Renew).await;
         // What still waits does not wait for the store to be back.
-        retry_waiting(&control);
-        borrow_for_waiting(&control);
+        control.retry_waiting();
+        loans::spawn_for_waiting(&control);
         if let Err(error) = written {
-            tracing::warn!(event = "grants_not_renewed", partition = number, %error);
-            sleep(RETRY_GAP).await;
+            tracing::warn!(event = "grants_not_renewed", partition, %error);
+            sleep(FAILED_PAUSE).await;
         }
-        let gap = if control.shared.store_answers() {
-            GAP
+        let interval = if control.shared.store_answers() {
+            INTERVAL
         } else {
-            LOST_GAP
+            LOST_INTERVAL
         };
-        let _ = timeout(gap, urgent.notified()).await;
+        wait(interval, &now).await;
     }
 }
 
+/// Waits for a span, or until it is called off.
+async fn wait(span: Duration, now: &Notify) {
+    // Both ends of the wait mean the same.
+    let _ = timeout(span, now.notified()).await;
+}
+
 /// Gives back what is not used; nothing runs any more.
-pub async fn give_back(control: &Rc<Control>) {
-    control.shared.set_closed();
-    let unused = control.fleet.borrow_mut().take_unused();
-    let gifts = link::give_all(control, unused);
-    let numbers: Vec<u32> = control.shards.borrow().keys().copied().collect();
-    let tasks = numbers.into_iter().map(|number| {
+pub(super) async fn give_back(control: &Rc<Control>) {
+    control.shared.set_gives_back();
+    let unused = control.state.borrow_mut().take_unused();
+    let gifts = loans::give_all(control, unused);
+    let partitions: Vec<u32> = control.renewals.borrow().keys().copied().collect();
+    let rows = partitions.into_iter().map(|partition| {
         let control = Rc::clone(control);
         async move {
-            let mut shard = Shard::new(number);
-            match write(&control, &mut shard, Purpose::GiveBack).await {
-                Ok(()) => tracing::info!(event = "grants_given_back", partition = number),
-                Err(error) => {
-                    tracing::warn!(event = "grants_not_given_back", partition = number, %error);
-                }
+            let mut renewal = Renewal::new(partition);
+            match write(&control, &mut renewal, Purpose::GiveBack).await {
+                Ok(()) => tracing::info!(event = "grants_given_back", partition),
+                Err(error) => tracing::warn!(event = "grants_not_given_back", partition, %error),
             }
         }
     });
-    futures::future::join(gifts, futures::future::join_all(tasks)).await;
+    futures::future::join(gifts, futures::future::join_all(rows)).await;
 }
 
 /// Reads and writes until nobody else has written in between.
-async fn write(control: &Control, shard: &mut Shard, purpose: Purpose) -> Result<(), CallError> {
+async fn write(
+    control: &Control,
+    renewal: &mut Renewal,
+    purpose: Purpose,
+) -> Result<(), CallError> {
     let mut result = Ok(());
-    for _ in 0..TRIES_MAX {
-        let is_idle = !is_awaited(control, shard) && shard.unknown.is_empty();
-        if is_idle && rows(control, shard, purpose).is_empty() {
+    for _ in 0..ATTEMPTS_MAX {
+        let is_idle = !is_awaited(control, renewal) && renewal.unanswered.is_empty();
+        if is_idle && rows(control, renewal, purpose).is_empty() {
             return Ok(());
         }
-        result = write_once(control, shard, purpose).await;
+        result = write_once(control, renewal, purpose).await;
         let noted = result.as_ref().map(|_| ());
         control.shared.note_call(Topic::Prepaid, &noted);
         match &result {
             Err(CallError::Moved { .. } | CallError::Gone { .. }) => {
-                let pause = rand::rng().random_range(0..CLASH_PAUSE_MS);
+                let pause = rand::rng().random_range(0..CONFLICT_PAUSE_MS);
                 sleep(Duration::from_millis(pause)).await;
             }
             _ => return result,
@@ -171,41 +165,39 @@
 
 async fn write_once(
     control: &Control,
-    shard: &mut Shard,
+    renewal: &mut Renewal,
     purpose: Purpose,
 ) -> Result<(), CallError> {
-    let next = read(control, shard).await?;
-    let rows = rows(control, shard, purpose);
+    let next = read(control, renewal).await?;
+    let rows = rows(control, renewal, purpose);
     if rows.is_empty() {
         return Ok(());
     }
-    control.fleet.borrow_mut().rows_sent(&rows);
+    control.state.borrow_mut().rows_sent(&rows);
     let records = records(control, &rows);
     let begun = Instant::now();
-    let limit = shard.patience.limit();
+    let limit = renewal.timeout.get();
     let appended = control
         .store
-        .append(shard.partition, &records, Some(next), limit)
+        .append(renewal.partition, &records, Some(next), limit)
         .await;
-    shard
-        .patience
-        .note(&appended, begun.elapsed(), Duration::ZERO);
+    renewal.timeout.note(&appended, begun.elapsed());
     match appended {
         Ok(end) => {
-            shard.next = Some(end);
-            shard.unknown.clear();
-            control.fleet.borrow_mut().rows_acknowledged(&rows);
+            renewal.next = Some(end);
+            renewal.unanswered.clear();
+            control.state.borrow_mut().rows_acknowledged(&rows);
             log(&rows, next);
             Ok(())
         }
         Err(error) if error.may_be_done() => {
-            shard.unknown.extend(rows);
+            renewal.unanswered.extend(rows);
             Err(error)
         }
         Err(error) => {
             // What was sent before may still be on its way, so only these rows are known not to be.
-            if shard.unknown.is_empty() {
-                control.fleet.borrow_mut().rows_withdrawn(&rows);
+            if renewal.unanswered.is_empty() {
+                control.state.borrow_mut().rows_withdrawn(&rows);
             }
             Err(error)
         }
@@ -213,24 +205,24 @@
 }
 
 /// Whether a request waits for a grant of this partition.
-fn is_awaited(control: &Control, shard: &Shard) -> bool {
-    let number = shard.partition.number;
-    let mut customers = waiting(control).into_keys();
-    customers.any(|customer| number_of(&customer, control.partitions) == number)
+fn is_awaited(control: &Control, renewal: &Renewal) -> bool {
+    let customers = control.waiting.borrow().needed();
+    let mut customers = customers.into_keys();
+    customers.any(|customer| control.partition_of(&customer) == renewal.partition.number)
 }
 
 /// The rows of a partition that are to be written.
-fn rows(control: &Control, shard: &Shard, purpose: Purpose) -> Vec<(String, Row)> {
-    let number = shard.partition.number;
-    let is_here = |customer: &str| number_of(customer, control.partitions) == number;
+fn rows(control: &Control, renewal: &Renewal, purpose: Purpose) -> Vec<(String, Row)> {
+    let number = renewal.partition.number;
+    let is_here = |customer: &str| control.partition_of(customer) == number;
     match purpose {
         Purpose::Renew => {
-            let waiting = waiting(control);
-            let mut fleet = control.fleet.borrow_mut();
-            fleet.rows(control.now(), &waiting, is_here)
+            let waiting = control.waiting.borrow().needed();
+            let mut state = control.state.borrow_mut();
+            state.rows(control.now(), &waiting, is_here)
         }
         Purpose::GiveBack => {
-            let mut rows = control.fleet.borrow().last_rows();
+            let mut rows = control.state.borrow().last_rows();
             rows.retain(|(customer, _)| is_here(customer));
             rows
         }
@@ -238,8 +230,8 @@
 }
 
 fn records(control: &Control, rows: &[(String, Row)]) -> Vec<Record> {
-    let fleet = control.fleet.borrow();
-    let name = &fleet.members.me.name;
+    let state = control.state.borrow();
+    let name = &state.members.me.name;
     let record = |(customer, row): &(String, Row)| Record {
         key: row_key(customer, name),
         value: Some(util::encode(row).into()),
@@ -247,46 +239,47 @@
     rows.iter().map(record).collect()
 }
 
-fn log(rows: &[(String, Row)], at: u64) {
+fn log(rows: &[(String, Row)], offset: u64) {
     for (customer, row) in rows {
         tracing::info!(
-            event = "granted",
+            event = "grant_written",
             %customer,
             granted = row.granted.0,
             spent = row.spent.0,
-            closed = row.closed.0,
+            spent_before = row.spent_before.0,
             demand = row.demand,
-            at
+            offset
         );
     }
 }
 
 /// Reads up to the end of the partition, and returns that end.
-async fn read(control: &Control, shard: &mut Shard) -> Result<u64, CallError> {
+async fn read(control: &Control, renewal: &mut Renewal) -> Result<u64, CallError> {
     loop {
-        let (store, partition) = (&control.store, shard.partition);
+        let (store, partition) = (&control.store, renewal.partition);
         let silent = || control.shared.note_silence(partition.topic);
-        let page = hedge::hedged(hedge::GAP, silent, || match shard.next {
-            None => store.newest(partition, hedge::MOST),
-            Some(from) => store.read(partition, from, Duration::ZERO, hedge::MOST),
+        let page = hedge::hedged(hedge::HEDGE_AFTER, silent, || match renewal.next {
+            None => store.newest(partition, hedge::ANSWER_MAX),
+            Some(from) => store.read(partition, from, Duration::ZERO, hedge::ANSWER_MAX),
         })
         .await;
         if let Err(CallError::Gone { .. }) = page {
-            shard.next = None;
+            renewal.next = None;
         }
         let page = page?;
-        take(control, shard, &page);
-        shard.next = Some(page.next);
+        take(control, renewal, &page);
+        renewal.next = Some(page.next);
         if page.next >= page.end {
             return Ok(page.next);
         }
     }
 }
 
-fn take(control: &Control, shard: &mut Shard, page: &Page) {
-    let mut fleet = control.fleet.borrow_mut();
-    let me = fleet.members.me.name.clone();
-    let incarnation = fleet.incarnation();
+/// Takes rows in that were read. They settle whether unanswered appends were done.
+fn take(control: &Control, renewal: &mut Renewal, page: &Page) {
+    let mut state = control.state.borrow_mut();
+    let me = state.members.me.name.clone();
+    let incarnation = state.incarnation();
     let mut own = Vec::new();
     for record in &page.records {
         let Some((customer, router)) = record.key.split_once(SEPARATOR) else {
@@ -300,12 +293,12 @@
                 None => {
                     let bytes = value.len();
                     tracing::error!(event = "row_unreadable", %customer, %router, bytes);
-                    fleet.set_unreadable_row(customer, router);
+                    state.set_unreadable_row(customer, router);
                     continue;
                 }
             },
         };
-        fleet.set_row(customer, router, row);
+        state.set_row(customer, router, row);
         if let Some(row) = row
             && router == me
             && row.incarnation == incarnation
@@ -313,10 +306,10 @@
             own.push((customer.to_owned(), row));
         }
     }
-    if !shard.unknown.is_empty() && !page.records.is_empty() {
+    if !renewal.unanswered.is_empty() && !page.records.is_empty() {
         // The partition has moved on, so what was sent is either here or never will be.
-        let unknown = std::mem::take(&mut shard.unknown);
-        fleet.rows_withdrawn(&unknown);
-        fleet.rows_acknowledged(&own);
+        let unanswered = std::mem::take(&mut renewal.unanswered);
+        state.rows_withdrawn(&unanswered);
+        state.rows_acknowledged(&own);
     }
 }
--- a/src/gateway/control/link.rs
+++ b/src/gateway/control/link.rs
@@ -1,124 +1,43 @@
-//! The links between routers: each tells some of the others a few times a second how it is, what
-//! it has at which target, and what it knows that they may lack. A router that is cut off from the
-//! store learns the configuration and the targets that way, and borrows prepaid tokens.
+//! The links between routers: each exchanges heartbeats with some of the others a few times a second.
+//!
+//! A heartbeat says what a router has at which target. Where the store does not answer one of them,
+//! it gets the other's configuration and list of targets, so that it goes on with what is in force.
 
-use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
 use rand::seq::IndexedRandom;
-use serde::{Deserialize, Serialize};
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
-use tokio::time::{Instant, sleep};
+use tokio::time::sleep;
 
-use super::{Control, follow, grants, retry_waiting, waiting};
-use crate::gateway::escrow::Loan;
+use super::context::Control;
+use super::{apply, loans};
 use crate::gateway::members::{Router, Source};
-use crate::gateway::target::{Outstanding, View};
-use crate::units::Tokens;
+use crate::gateway::message::{Heartbeat, Reply, Request};
 use crate::wire::{self, Missing};
 
-/// Between two rounds of heartbeats.
-const GAP: Duration = Duration::from_millis(300);
-/// Routers told in each round.
-const FANOUT: usize = 3;
-/// Longest wait for an answer.
-const WAIT: Duration = Duration::from_millis(400);
-/// How long what another router told of its load counts.
-const LOAD_KEPT: Duration = Duration::from_millis(1_200);
-/// Routers that are asked for a loan, one after the other.
-const LENDERS: usize = 4;
-/// Between two looks for borrowed tokens that are not needed.
-const EXCESS_GAP: Duration = Duration::from_millis(1_000);
+/// Interval of rounds of heartbeats. Not measured.
+const INTERVAL: Duration = Duration::from_millis(300);
+/// Routers that are told in a round, whatever the size of the fleet. Not measured.
+const FAN_OUT: usize = 3;
+/// Longest wait for an answer. Not measured: a router that takes longer is frozen or cut off.
+const ANSWER_MAX: Duration = Duration::from_millis(400);
 
-/// What follows loans that were not enough.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Then {
-    /// The store is asked for a grant.
-    AskStore,
-    /// Nothing; the store was asked before.
-    Wait,
-}
-
-/// How a router is.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Beat {
-    /// The router.
-    pub router: Router,
-    /// Version of its configuration.
-    pub config: u64,
-    /// Whether it is in contact with the store.
-    pub in_contact: bool,
-    /// What it has at which target.
-    pub outstanding: Vec<Outstanding>,
-}
-
-/// What a router asks of another.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Question {
-    /// This is how I am; how are you?
-    Beat(Beat),
-    /// Count tokens of this customer as spent for me.
-    Lend {
-        /// The customer.
-        customer: String,
-        /// How many.
-        loan: Loan,
-    },
-    /// These tokens of a customer are yours now.
-    Give {
-        /// The customer.
-        customer: String,
-        /// How many.
-        tokens: Tokens,
-    },
-}
+/// Another router's request, and where its answer goes.
+pub(super) type Question = (Request, oneshot::Sender<Reply>);
 
-/// What it is answered.
-#[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Answer {
-    /// How the other is.
-    Beat {
-        /// As it was asked.
-        beat: Box<Beat>,
-        /// Its configuration, where that is newer.
-        config: Option<Vec<u8>>,
-        /// Its targets, where the asking router is not in contact with the store.
-        targets: Option<View>,
-    },
-    /// What is lent; zero is a refusal.
-    Lent(Tokens),
-    /// What was given has been taken.
-    Taken,
-}
-
-/// A question and where its answer goes.
-pub type Asked = (Question, oneshot::Sender<Answer>);
-
-/// What other routers told of their load.
-#[derive(Debug, Default)]
-pub struct Loads(HashMap<String, (Instant, Vec<Outstanding>)>);
-
-impl Loads {
-    fn note(&mut self, router: &str, outstanding: Vec<Outstanding>) {
-        self.0
-            .insert(router.to_owned(), (Instant::now(), outstanding));
-        self.0.retain(|_, (at, _)| at.elapsed() < LOAD_KEPT);
-    }
-
-    fn all(&self) -> impl Iterator<Item = &Outstanding> {
-        self.0.values().flat_map(|(_, outstanding)| outstanding)
-    }
+/// A client for the links.
+pub(super) fn client(key: &str) -> wire::Client {
+    wire::Client::new(key).with_wait(ANSWER_MAX)
 }
 
-/// Answers other routers until the process ends.
-pub async fn listen(
+/// Passes other routers' requests to the control thread's loop until the process ends.
+pub(super) async fn listen(
     listener: std::net::TcpListener,
     key: String,
-    asked: mpsc::UnboundedSender<Asked>,
+    asked: mpsc::UnboundedSender<Question>,
 ) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -127,11 +46,12 @@
             return;
         }
     };
-    let answer = move |question: Question| {
+    let answer = move |request: Request| {
         let asked = asked.clone();
         async move {
+            // Without the control thread the process is ending, and the peer is told so.
             let (reply, answer) = oneshot::channel();
-            asked.send((question, reply)).ok()?;
+            asked.send((request, reply)).ok()?;
             answer.await.ok()
         }
     };
@@ -141,214 +61,111 @@
     }
 }
 
-/// Answers one question.
-pub fn answer(control: &Control, question: Question) -> Answer {
-    match question {
-        Question::Beat(beat) => answer_beat(control, beat),
-        Question::Lend { customer, loan } => {
-            let mut fleet = control.fleet.borrow_mut();
-            let lent = fleet.lend(control.now(), &customer, loan);
-            drop(fleet);
-            let (lacking, wanted) = (loan.lacking.0, loan.wanted.0);
-            tracing::info!(event = "lent", %customer, lacking, wanted, lent = lent.0);
-            if lent < loan.lacking && control.shared.store_answers() {
-                grants::hurry(control, &customer);
-            }
-            Answer::Lent(lent)
-        }
-        Question::Give { customer, tokens } => {
-            control.fleet.borrow_mut().borrow(&customer, tokens);
-            tracing::info!(event = "taken", %customer, tokens = tokens.0);
-            retry_waiting(control);
-            Answer::Taken
+/// Answers another router.
+pub(super) fn answer(control: &Control, request: Request) -> Reply {
+    match request {
+        Request::Heartbeat(heartbeat) => answer_heartbeat(control, heartbeat),
+        Request::Lend { customer, loan } => Reply::Lent(loans::lend(control, &customer, loan)),
+        Request::Give { customer, tokens } => {
+            loans::take(control, &customer, tokens);
+            Reply::Taken
         }
     }
 }
 
-fn answer_beat(control: &Control, beat: Beat) -> Answer {
-    let mine = beat_of(control);
-    let config = (mine.config > beat.config)
+fn answer_heartbeat(control: &Control, theirs: Heartbeat) -> Reply {
+    let own = own_heartbeat(control);
+    let config = (own.config > theirs.config)
         .then(|| control.shared.config_bytes.load_full())
         .flatten();
-    let is_of_use = mine.in_contact && !beat.in_contact;
-    let targets = is_of_use.then(|| control.fleet.borrow().targets.view());
-    take_beat(control, beat);
-    Answer::Beat {
-        beat: Box::new(mine),
+    let knows_more = own.store_answers && !theirs.store_answers;
+    let targets = knows_more.then(|| control.state.borrow().targets.view());
+    take(control, theirs);
+    Reply::Heartbeat {
+        heartbeat: Box::new(own),
         config: config.map(|bytes| bytes.to_vec()),
         targets,
     }
 }
 
-fn beat_of(control: &Control) -> Beat {
-    let fleet = control.fleet.borrow();
-    let mut router = fleet.members.me.clone();
+fn own_heartbeat(control: &Control) -> Heartbeat {
+    let state = control.state.borrow();
+    let mut router = state.members.me.clone();
     router.is_ready = control.shared.is_ready();
     let config = control.shared.config.load();
-    Beat {
+    Heartbeat {
         router,
         config: config.as_ref().map_or(0, |config| config.version),
-        in_contact: control.shared.store_answers(),
-        outstanding: fleet.targets.outstanding(control.now()),
+        store_answers: control.shared.store_answers(),
+        outstanding: state.targets.outstanding(control.now()),
     }
 }
 
-fn take_beat(control: &Control, beat: Beat) {
-    let mut loads = control.loads.borrow_mut();
-    loads.note(&beat.router.name, beat.outstanding);
-    let mut fleet = control.fleet.borrow_mut();
-    fleet.targets.set_others(loads.all());
-    let (name, is_ready) = (beat.router.name.clone(), beat.router.is_ready);
-    let changed = fleet.members.hear(control.now(), beat.router, Source::Link);
-    drop(fleet);
-    if changed {
-        tracing::info!(event = "router_heard", %name, is_ready, source = "link");
-        control.publish_fronts();
+/// Takes another router's heartbeat in.
+fn take(control: &Control, heartbeat: Heartbeat) {
+    let mut loads = control.peer_loads.borrow_mut();
+    loads.set(&heartbeat.router.name, heartbeat.outstanding);
+    control.state.borrow_mut().targets.set_others(loads.all());
+    if apply::heartbeat(control, heartbeat.router, Source::Link) {
+        control.publish_caller_addresses();
     }
 }
 
-/// Tells other routers how this one is, until the process ends.
-pub async fn beat(control: Rc<Control>) {
+/// Exchanges heartbeats with other routers until the process ends.
+pub(super) async fn send_heartbeats(control: Rc<Control>) {
     loop {
-        sleep(GAP).await;
-        let routers = others(&control, FANOUT);
-        for router in routers {
+        sleep(INTERVAL).await;
+        for router in draw(&control, FAN_OUT) {
             let control = Rc::clone(&control);
-            tokio::task::spawn_local(async move { tell(&control, router).await });
+            tokio::task::spawn_local(async move { exchange(&control, router).await });
         }
     }
 }
 
-/// Some of the other routers, drawn at random; also those that are thought to be gone, since only a
-/// call shows that they are back.
-fn others(control: &Control, count: usize) -> Vec<Router> {
-    let fleet = control.fleet.borrow();
-    let known: Vec<&Router> = fleet.members.known().collect();
+/// Some of the other routers, drawn at random; also those that count as dead, since only a call shows
+/// that they are back.
+fn draw(control: &Control, count: usize) -> Vec<Router> {
+    let state = control.state.borrow();
+    let known: Vec<&Router> = state.members.known().collect();
     known
         .sample(&mut rand::rng(), count)
         .map(|router| (*router).clone())
         .collect()
 }
 
-async fn tell(control: &Rc<Control>, router: Router) {
-    let question = Question::Beat(beat_of(control));
-    match control.links.ask(router.link, &question).await {
-        Ok(Answer::Beat {
-            beat,
+async fn exchange(control: &Rc<Control>, router: Router) {
+    let request = Request::Heartbeat(own_heartbeat(control));
+    match control.links.ask(router.link, &request).await {
+        Ok(Reply::Heartbeat {
+            heartbeat,
             config,
             targets,
         }) => {
-            take_beat(control, *beat);
+            take(control, *heartbeat);
             if let Some(config) = config {
-                follow::take_config(control, &Bytes::from(config));
+                apply::config(control, &Bytes::from(config));
             }
             if let Some(targets) = targets
                 && !control.shared.store_answers()
             {
-                follow::take_view(control, targets);
+                apply::peer_targets(control, targets);
             }
         }
-        Ok(Answer::Lent(_) | Answer::Taken) => {}
-        Err(missing) => miss(control, &router, missing),
-    }
-}
-
-fn miss(control: &Control, router: &Router, missing: Missing) {
-    let mut fleet = control.fleet.borrow_mut();
-    let changed = fleet.members.miss(&router.name, router.incarnation);
-    drop(fleet);
-    if changed {
-        tracing::warn!(event = "router_missed", name = %router.name, reason = %missing);
-        control.publish_fronts();
-    }
-}
-
-/// Borrows what waiting requests lack, from as many routers as it takes.
-pub async fn borrow(control: Rc<Control>, customer: String, then: Then) {
-    if !control.borrowing.borrow_mut().insert(customer.clone()) {
-        return;
-    }
-    for link in lenders(&control, &customer) {
-        let Some(loan) = loan(&control, &customer) else {
-            break;
-        };
-        let question = Question::Lend {
-            customer: customer.clone(),
-            loan,
-        };
-        if let Ok(Answer::Lent(lent)) = control.links.ask(link, &question).await {
-            control.fleet.borrow_mut().borrow(&customer, lent);
-            let (lacking, wanted) = (loan.lacking.0, loan.wanted.0);
-            tracing::info!(event = "borrowed", %customer, %link, lacking, wanted, lent = lent.0);
-            retry_waiting(&control);
+        Ok(reply @ (Reply::Lent(_) | Reply::Taken)) => {
+            tracing::warn!(event = "peer_answer_unfit", name = %router.name, ?reply);
         }
+        Err(missing) => set_unreachable(control, &router, missing),
     }
-    control.borrowing.borrow_mut().remove(&customer);
-    let is_short = loan(&control, &customer).is_some();
-    if is_short && then == Then::AskStore && control.shared.store_answers() {
-        grants::hurry(&control, &customer);
-    }
-}
-
-/// What is lacking for all that waits, if anything is, and what will soon be asked for.
-fn loan(control: &Control, customer: &str) -> Option<Loan> {
-    let needed = waiting(control).remove(customer)?;
-    let mut fleet = control.fleet.borrow_mut();
-    let lacking = fleet.lacking(customer, needed);
-    let wanted = lacking + fleet.demand(control.now(), customer);
-    (lacking > Tokens::ZERO).then_some(Loan { lacking, wanted })
-}
-
-/// The routers to borrow from: those that hold the customer's grants, from a random one on.
-fn lenders(control: &Control, customer: &str) -> Vec<SocketAddr> {
-    let fleet = control.fleet.borrow();
-    let name = &fleet.members.me.name;
-    let holders = fleet.holders(control.now(), customer);
-    let others: Vec<SocketAddr> = holders
-        .into_iter()
-        .filter(|router| router.name != *name)
-        .map(|router| router.link)
-        .collect();
-    others.sample(&mut rand::rng(), LENDERS).copied().collect()
 }
 
-/// Gives what was borrowed and is not needed to routers that hold the customers' grants, until the
-/// process ends.
-pub async fn give_excess(control: Rc<Control>) {
-    loop {
-        sleep(EXCESS_GAP).await;
-        let excess = control.fleet.borrow_mut().take_excess(control.now());
-        give_all(&control, excess).await;
+fn set_unreachable(control: &Control, router: &Router, missing: Missing) {
+    let mut state = control.state.borrow_mut();
+    let is_new = state
+        .members
+        .set_unreachable(&router.name, router.incarnation);
+    drop(state);
+    if is_new {
+        tracing::warn!(event = "peer_unreachable", name = %router.name, reason = %missing);
+        control.publish_caller_addresses();
     }
 }
-
-/// Gives tokens to routers that hold the customers' grants.
-pub async fn give_all(control: &Control, tokens: Vec<(String, Tokens)>) {
-    let gifts = tokens.into_iter().map(|(customer, tokens)| {
-        let to = lenders(control, &customer).first().copied();
-        give(control, customer, tokens, to)
-    });
-    futures::future::join_all(gifts).await;
-}
-
-/// Gives tokens to another router. Without an answer it may have them, so they are lost here.
-async fn give(control: &Control, customer: String, tokens: Tokens, to: Option<SocketAddr>) {
-    let Some(to) = to else {
-        control.fleet.borrow_mut().borrow(&customer, tokens);
-        return;
-    };
-    let question = Question::Give {
-        customer: customer.clone(),
-        tokens,
-    };
-    let answer: Result<Answer, Missing> = control.links.ask(to, &question).await;
-    if matches!(answer, Err(Missing::Refused)) {
-        control.fleet.borrow_mut().borrow(&customer, tokens);
-    }
-    tracing::info!(event = "given", %customer, %to, tokens = tokens.0, taken = answer.is_ok());
-}
-
-/// A client for the links.
-pub fn client(key: &str) -> wire::Client {
-    wire::Client::new(key).with_wait(WAIT)
-}
--- /dev/null
+++ b/src/gateway/control/loans.rs
@@ -0,0 +1,154 @@
+//! Loans of prepaid tokens between routers, for what the store does not grant in time.
+//!
+//! A token is lent by counting it as spent at the lender, so that no sum over rows changes. A loan
+//! whose answer is lost is lost: it stays spent, and nobody can spend it twice.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use rand::seq::IndexedRandom;
+use tokio::time::sleep;
+
+use super::context::Control;
+use crate::gateway::escrow::Loan;
+use crate::gateway::message::{Reply, Request};
+use crate::units::Tokens;
+use crate::wire::Missing;
+
+/// Routers that are asked for a loan, one after the other. Not measured: half of the holders.
+const LENDERS_MAX: usize = 4;
+/// Interval at which borrowed tokens that are not needed are given back. Not measured.
+const GIVE_BACK_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// What follows loans that are not enough.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Fallback {
+    /// The store is asked for a grant.
+    Store,
+    /// Nothing: the store was asked before.
+    Nothing,
+}
+
+/// Borrows for a customer's waiting requests in a task of its own.
+pub(super) fn spawn(control: &Rc<Control>, customer: String, fallback: Fallback) {
+    let loan = borrow(Rc::clone(control), customer, fallback);
+    tokio::task::spawn_local(loan);
+}
+
+/// Borrows for all requests that wait after the grants were renewed.
+pub(super) fn spawn_for_waiting(control: &Rc<Control>) {
+    let customers = control.waiting.borrow().needed();
+    for customer in customers.into_keys() {
+        spawn(control, customer, Fallback::Nothing);
+    }
+}
+
+/// Borrows what a customer's waiting requests lack, from as many routers as it takes.
+async fn borrow(control: Rc<Control>, customer: String, fallback: Fallback) {
+    if !control.borrowing.borrow_mut().insert(customer.clone()) {
+        return;
+    }
+    for lender in lenders(&control, &customer) {
+        let Some(loan) = loan(&control, &customer) else {
+            break;
+        };
+        let request = Request::Lend {
+            customer: customer.clone(),
+            loan,
+        };
+        if let Ok(Reply::Lent(lent)) = control.links.ask(lender, &request).await {
+            control.state.borrow_mut().borrow(&customer, lent);
+            let (lacking, wanted) = (loan.lacking.0, loan.wanted.0);
+            tracing::info!(event = "loan_received", %customer, %lender, lacking, wanted, lent = lent.0);
+            control.retry_waiting();
+        }
+    }
+    control.borrowing.borrow_mut().remove(&customer);
+    let is_short = loan(&control, &customer).is_some();
+    if is_short && fallback == Fallback::Store && control.shared.store_answers() {
+        control.renew_now(&customer);
+    }
+}
+
+/// What a customer's waiting requests lack, if they lack anything.
+fn loan(control: &Control, customer: &str) -> Option<Loan> {
+    let needed = control.waiting.borrow().needed().remove(customer)?;
+    let mut state = control.state.borrow_mut();
+    let lacking = state.lacking(customer, needed);
+    let wanted = lacking + state.demand(control.now(), customer);
+    (lacking > Tokens::ZERO).then_some(Loan { lacking, wanted })
+}
+
+/// Some of the routers that hold a customer's grants, in random order.
+fn lenders(control: &Control, customer: &str) -> Vec<SocketAddr> {
+    let state = control.state.borrow();
+    let name = &state.members.me.name;
+    let holders = state.holders(control.now(), customer);
+    let others: Vec<SocketAddr> = holders
+        .into_iter()
+        .filter(|router| router.name != *name)
+        .map(|router| router.link)
+        .collect();
+    others
+        .sample(&mut rand::rng(), LENDERS_MAX)
+        .copied()
+        .collect()
+}
+
+/// Lends to another router that asks.
+pub(super) fn lend(control: &Control, customer: &str, loan: Loan) -> Tokens {
+    let mut state = control.state.borrow_mut();
+    let lent = state.lend(control.now(), customer, loan);
+    drop(state);
+    let (lacking, wanted) = (loan.lacking.0, loan.wanted.0);
+    tracing::info!(event = "loan_made", %customer, lacking, wanted, lent = lent.0);
+    if lent < loan.lacking && control.shared.store_answers() {
+        control.renew_now(customer);
+    }
+    lent
+}
+
+/// Takes tokens that another router gives.
+pub(super) fn take(control: &Control, customer: &str, tokens: Tokens) {
+    control.state.borrow_mut().borrow(customer, tokens);
+    tracing::info!(event = "tokens_taken", %customer, tokens = tokens.0);
+    control.retry_waiting();
+}
+
+/// Gives borrowed tokens that are not needed to routers that hold the customers' grants, until the
+/// process ends.
+pub(super) async fn give_back_excess(control: Rc<Control>) {
+    loop {
+        sleep(GIVE_BACK_INTERVAL).await;
+        let excess = control.state.borrow_mut().take_excess(control.now());
+        give_all(&control, excess).await;
+    }
+}
+
+/// Gives tokens to routers that hold the customers' grants.
+pub(super) async fn give_all(control: &Control, tokens: Vec<(String, Tokens)>) {
+    let gifts = tokens.into_iter().map(|(customer, tokens)| {
+        let to = lenders(control, &customer).first().copied();
+        give(control, customer, tokens, to)
+    });
+    futures::future::join_all(gifts).await;
+}
+
+/// Gives tokens to another router. Without an answer it may have them, so they are lost here.
+async fn give(control: &Control, customer: String, tokens: Tokens, to: Option<SocketAddr>) {
+    let Some(to) = to else {
+        control.state.borrow_mut().borrow(&customer, tokens);
+        return;
+    };
+    let request = Request::Give {
+        customer: customer.clone(),
+        tokens,
+    };
+    let answer: Result<Reply, Missing> = control.links.ask(to, &request).await;
+    if matches!(answer, Err(Missing::Refused)) {
+        control.state.borrow_mut().borrow(&customer, tokens);
+    }
+    let taken = answer.is_ok();
+    tracing::info!(event = "tokens_given", %customer, %to, tokens = tokens.0, taken);
+}
--- /dev/null
+++ b/src/gateway/decision/grant.rs
@@ -0,0 +1,121 @@
+//! How many tokens of a prepaid budget a router holds, lends and gives back.
+//!
+//! Tokens that are granted ahead of need carry a router through a time without the store, but are
+//! lost if it dies. While a budget lasts for long the first weighs more; towards its end a lost grant
+//! would refuse requests that are paid for, so nothing is granted ahead any more and each request
+//! waits for a grant of its own.
+
+use crate::gateway::escrow::row::Row;
+use crate::units::{Millis, Tokens};
+
+/// Changes of less than one part in this many of the prepaid budget are not written on their own:
+/// each write is a call to the store, which has a price. Not measured.
+const CHANGE_DIVISOR: u64 = 1_000;
+
+/// A lender that has this many times what is wanted lends more than is lacking. Not measured.
+const PLENTY: u64 = 4;
+
+/// A router's part in keeping a customer's budget.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Role {
+    /// It has tokens granted ahead of need, and lends them to others.
+    Holder,
+    /// It borrows what it needs; the store grants it only what no holder lends.
+    Borrower,
+}
+
+/// How grants are sized. The settings' defaults are the best of 18 days a row over seven trials
+/// (docs/BENCHMARKS.md, trials), none of which was better by more than noise.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Sizing {
+    /// Span of demand that a grant ahead covers.
+    pub horizon: Millis,
+    /// Nothing is granted ahead of a budget that lasts no longer than this at the present demand.
+    pub exact: Millis,
+    /// Part of what is left beyond that which all routers together may hold ahead, 0 to 1.
+    pub share: f64,
+    /// Part of what is left beyond that which is spread over the holders whatever their demand, 0 to 1.
+    pub spread: f64,
+    /// Routers that hold grants of one customer ahead of need.
+    pub holders: usize,
+}
+
+/// A router's need of one customer's tokens.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Need {
+    /// Whether it holds grants ahead of need.
+    pub role: Role,
+    /// Tokens a second that are asked of it.
+    pub demand: f64,
+    /// Tokens a second that are asked of all routers.
+    pub total_demand: f64,
+    /// Tokens that it has spent or reserved out of its grant.
+    pub used: Tokens,
+    /// Tokens that requests wait for.
+    pub waiting: Tokens,
+    /// Tokens of the prepaid budget that nobody is known to have spent.
+    pub left: Tokens,
+    /// Tokens that are granted to nobody else.
+    pub free: Tokens,
+    /// Tokens that are granted to it now.
+    pub granted: Tokens,
+}
+
+/// Decides what a router's grant should be, in all.
+pub fn size(sizing: &Sizing, need: &Need) -> Tokens {
+    let unspent = ahead(sizing, need).max(need.waiting);
+    // What is already used stays granted, even where the budget was lowered below it.
+    let kept = need.used.min(need.granted);
+    (need.used + unspent).min(need.free).max(kept)
+}
+
+/// Tokens that a router should hold beyond what it uses.
+fn ahead(sizing: &Sizing, need: &Need) -> Tokens {
+    if need.role == Role::Borrower {
+        return Tokens::ZERO;
+    }
+    let exact = need.total_demand * seconds(sizing.exact);
+    let above = (need.left.0 as f64 - exact).max(0.0);
+    let spread = above * sizing.spread / sizing.holders.max(1) as f64;
+    let share = if need.total_demand > 0.0 {
+        above * sizing.share * need.demand / need.total_demand
+    } else {
+        0.0
+    };
+    let covered = (need.demand * seconds(sizing.horizon)).min(share);
+    Tokens(covered.max(spread) as u64)
+}
+
+fn seconds(span: Millis) -> f64 {
+    span.0 as f64 / 1_000.0
+}
+
+/// Whether a row differs enough from the one that was last written to be worth a call to the store.
+pub fn is_worth_writing(written: Option<&Row>, row: &Row, prepaid: Tokens) -> bool {
+    let Some(written) = written else {
+        return row.granted > Tokens::ZERO;
+    };
+    let is_near = |a: Tokens, b: Tokens| a.0.abs_diff(b.0) <= prepaid.0 / CHANGE_DIVISOR;
+    !is_near(written.granted, row.granted)
+        || !is_near(written.spent, row.spent)
+        || written.spent_before != row.spent_before
+}
+
+/// Decides a router's role for a customer that it is not among the first holders of: one of which much
+/// is asked holds grants of its own beside those that everybody knows.
+pub fn role_by_demand(demand: Tokens, demand_of_others: u64, holders: usize) -> Role {
+    let total = demand_of_others + demand.0;
+    if demand.0 > 0 && demand.0 * holders as u64 >= total {
+        Role::Holder
+    } else {
+        Role::Borrower
+    }
+}
+
+/// Decides how much of what is available a router lends: what the other lacks, and what it wants
+/// beyond that only where there is plenty.
+pub fn lend(available: Tokens, lacking: Tokens, wanted: Tokens) -> Tokens {
+    let is_plenty = available.0 >= wanted.0.saturating_mul(PLENTY);
+    let asked = if is_plenty { wanted } else { lacking };
+    asked.min(available)
+}
--- /dev/null
+++ b/src/gateway/decision/refusal.rs
@@ -0,0 +1,158 @@
+//! What a caller is told whose request gets no target's answer: the status, the word, and when to
+//! come back.
+//!
+//! "Not run" is said only where no attempt can have run. A time to come back goes with each refusal
+//! that a later try may not meet.
+
+use http::StatusCode;
+
+use super::retry::{Failure, Verdict};
+use crate::units::Millis;
+
+/// Time to come back without a configuration: one comes within a read of the store. Not measured.
+const NO_CONFIG_RETRY: Millis = Millis(300);
+/// Time to come back to another router when this one stops: any other serves at once.
+const STOPPING_RETRY: Millis = Millis(20);
+/// Time to come back for a grant, which takes a write to the store or a loan. Not measured.
+const GRANT_RETRY: Millis = Millis(250);
+/// Time to come back while the store does not answer; its outages last many seconds. Not measured.
+const CUT_OFF_RETRY: Millis = Millis(5_000);
+/// Time to come back where no target could be reached: the list is read each half a second.
+const NO_TARGET_RETRY: Millis = Millis(250);
+/// Time to come back after a target's refusal, or where the retry budget is used up. Not measured.
+const REFUSED_RETRY: Millis = Millis(100);
+
+/// Why the control state does not let a request run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Refusal {
+    /// No target takes requests.
+    NoTarget,
+    /// The retry budget is used up.
+    NoRepeats,
+    /// What is left of the prepaid budget does not cover it.
+    Exhausted,
+    /// This router's part of the budget does not cover it, and no more came in time.
+    Short,
+    /// The same, while the store does not answer.
+    CutOff,
+}
+
+/// Why a caller gets no target's answer.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Reason {
+    /// A header cannot be read.
+    BadHeader,
+    /// The body did not arrive complete.
+    BadBody,
+    /// The body is longer than the configuration allows.
+    TooLong,
+    /// No configuration is known yet.
+    NoConfig,
+    /// No route has this host and path.
+    NoRoute,
+    /// The customer's key is missing or unknown.
+    NoKey,
+    /// This router is stopping, and would not finish the request.
+    Stopping,
+    /// The control state refused it.
+    Refused(Refusal),
+    /// The target refused it, and has not run it.
+    TargetRefused,
+    /// No target could be reached.
+    Unreachable,
+    /// The caller's time was over before anything was sent.
+    Late,
+    /// It was sent and broke off; it may have run.
+    BrokenOff,
+    /// It was sent and the caller's time was over; it may have run.
+    TimedOut,
+}
+
+impl Reason {
+    /// What is told of a request that is given up after a failed attempt. `verdict` covers all of its
+    /// attempts: once one may have run, no later failure says that none has.
+    pub fn of(failure: Failure, verdict: Verdict) -> Self {
+        match (failure, verdict) {
+            (Failure::TimedOut, _) => Self::TimedOut,
+            (Failure::BrokenOff | Failure::ServerError, _) | (_, Verdict::MayHaveRun) => {
+                Self::BrokenOff
+            }
+            (Failure::Refused | Failure::WrongInstance, _) => Self::TargetRefused,
+            (Failure::Unreachable | Failure::IdleClosed | Failure::Unwritable, _) => {
+                Self::Unreachable
+            }
+            (Failure::Late, _) => Self::Late,
+        }
+    }
+
+    /// Whether the request may have run.
+    pub fn verdict(self) -> Verdict {
+        match self {
+            Self::BrokenOff | Self::TimedOut => Verdict::MayHaveRun,
+            _ => Verdict::NotRun,
+        }
+    }
+
+    /// The status of the answer.
+    pub fn status(self) -> StatusCode {
+        match self {
+            Self::BadHeader | Self::BadBody => StatusCode::BAD_REQUEST,
+            Self::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::NoRoute => StatusCode::NOT_FOUND,
+            Self::NoKey => StatusCode::UNAUTHORIZED,
+            Self::Refused(Refusal::Exhausted) => StatusCode::PAYMENT_REQUIRED,
+            Self::BrokenOff => StatusCode::BAD_GATEWAY,
+            Self::TimedOut => StatusCode::GATEWAY_TIMEOUT,
+            Self::NoConfig
+            | Self::Stopping
+            | Self::Refused(_)
+            | Self::TargetRefused
+            | Self::Unreachable
+            | Self::Late => StatusCode::SERVICE_UNAVAILABLE,
+        }
+    }
+
+    /// When to come back, where it has not run and a later try may.
+    pub fn retry_after(self) -> Option<Millis> {
+        match self {
+            Self::NoConfig => Some(NO_CONFIG_RETRY),
+            Self::Stopping => Some(STOPPING_RETRY),
+            Self::Refused(Refusal::Short) => Some(GRANT_RETRY),
+            Self::Refused(Refusal::CutOff) => Some(CUT_OFF_RETRY),
+            Self::Refused(Refusal::NoTarget) | Self::Unreachable => Some(NO_TARGET_RETRY),
+            Self::Refused(Refusal::NoRepeats) | Self::TargetRefused => Some(REFUSED_RETRY),
+            Self::BadHeader
+            | Self::BadBody
+            | Self::TooLong
+            | Self::NoRoute
+            | Self::NoKey
+            | Self::Refused(Refusal::Exhausted)
+            | Self::Late
+            | Self::BrokenOff
+            | Self::TimedOut => None,
+        }
+    }
+
+    /// Its word in answers and logs.
+    pub fn word(self) -> &'static str {
+        match self {
+            Self::BadHeader => "bad_header",
+            Self::BadBody => "bad_body",
+            Self::TooLong => "body_too_long",
+            Self::NoConfig => "no_configuration",
+            Self::NoRoute => "no_route",
+            Self::NoKey => "no_key",
+            Self::Stopping => "stopping",
+            Self::Refused(Refusal::NoTarget) => "no_target",
+            Self::Refused(Refusal::NoRepeats) => "no_repeats",
+            Self::Refused(Refusal::Exhausted) => "budget_exhausted",
+            Self::Refused(Refusal::Short) => "budget_short_here",
+            Self::Refused(Refusal::CutOff) => "budget_short_and_cut_off",
+            Self::TargetRefused => "target_refused",
+            Self::Unreachable => "unreachable",
+            Self::Late => "late",
+            Self::BrokenOff => "broken_off",
+            Self::TimedOut => "timed_out",
+        }
+    }
+}
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -1,5 +1,7 @@
-//! What callers and targets say, in the product's own terms. An adapter translates a deployment's
-//! headers, paths and records into these; it decides nothing.
+//! What a deployment's callers, targets and operators say, as types of ours.
+//!
+//! A deployment's adapter implements [`Dialect`]: it decodes headers, paths and records into the
+//! types here and encodes ours. It owns no state, decides nothing and retries nothing.
 
 use std::net::SocketAddr;
 
@@ -8,72 +10,97 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use crate::gateway::route::Config;
+use super::route::Config;
 use crate::units::{Millis, Tokens};
 
-/// A shared part of a prompt.
+/// A block of a prompt that other prompts may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
-    /// Which part; equal parts have equal numbers.
+pub struct Block {
+    /// Equal blocks have equal ids.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: Tokens,
 }
 
-/// What a model request needs.
+/// The prompt of a model request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
     /// The model.
     pub model: String,
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub tokens: Tokens,
-    /// Most tokens of the answer.
-    pub most: Tokens,
-    /// The prompt's parts, in order; the last is its own.
-    pub parts: Vec<Part>,
+    /// Longest answer, in tokens.
+    pub max_tokens: Tokens,
+    /// The prompt's blocks in order; the last belongs to this request alone.
+    pub blocks: Vec<Block>,
 }
 
-/// What a caller asks for, as far as its headers tell.
+impl Prompt {
+    /// The blocks that other prompts may have in common with this one.
+    pub fn shared_blocks(&self) -> &[Block] {
+        match self.blocks.split_last() {
+            Some((_, shared)) => shared,
+            None => &[],
+        }
+    }
+
+    /// The most tokens that a request with this prompt can use.
+    pub fn max_cost(&self) -> Tokens {
+        self.tokens + self.max_tokens
+    }
+}
+
+/// A caller's request, as far as its headers describe it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Ask {
-    /// The request's id.
+pub struct Request {
+    /// The id that the caller gave it.
     pub id: String,
-    /// How long the caller waits.
-    pub deadline: Option<Millis>,
-    /// The key that it shows.
+    /// How long the caller waits for the answer.
+    pub time_limit: Option<Millis>,
+    /// The customer's secret key.
     pub key: Option<String>,
     /// Set for a model request.
     pub prompt: Option<Prompt>,
-    /// The last event that it has of a stream that it takes up again.
+    /// Id of the last event that the caller has of a stream that it resumes.
     pub last_event: Option<String>,
 }
 
-/// A header that makes no sense.
+/// A header that cannot be read.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{header}: wanted is {wanted}"))]
 pub struct BadHeader {
-    /// Which.
+    /// Its name.
     pub header: &'static str,
-    /// What it must be.
+    /// What it has to hold.
     pub wanted: &'static str,
 }
 
-/// What is told to a target beside the caller's own headers.
+/// What a target is told beside the caller's own headers.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Order<'a> {
-    /// How long it may work.
-    pub deadline: Millis,
-    /// The instance that is meant.
+pub struct Forward<'a> {
+    /// Time that is left for the answer.
+    pub time_limit: Millis,
+    /// The instance that is meant; another one at the same address has to refuse.
     pub instance: &'a str,
-    /// Who pays.
+    /// The customer that pays.
     pub customer: Option<&'a str>,
-    /// Rank at the target; 0 goes first.
+    /// Rank in the target's queue; 0 goes first.
     pub rank: Option<u8>,
-    /// The last event that the caller has, where a stream is taken up again.
+    /// Id of the last event that the caller has, where a stream is resumed.
     pub last_event: Option<&'a str>,
 }
 
-/// How busy a target says it is.
+/// A request that cannot be written for a target.
+#[derive(Clone, Debug, PartialEq, Eq, Snafu)]
+#[snafu(display("{header}: {value:?} is no header value"))]
+pub struct BadForward {
+    /// The header's name.
+    pub header: &'static str,
+    /// The value that it should have.
+    pub value: String,
+}
+
+/// A target's load by its own count.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
     /// Requests that run.
@@ -82,75 +109,108 @@
     pub waiting: u32,
 }
 
-/// What a target's answer says of itself.
+/// What the head of a target's answer says.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Told {
-    /// The id of the request that it answers.
+pub struct Reply {
+    /// Id of the request that it answers.
     pub id: Option<String>,
-    /// Whether the target has not run the request, and never will.
+    /// Whether the target vouches that it has not run the request and never will.
     pub not_run: bool,
-    /// Whether the answer is signed by a target.
+    /// Whether a target has signed it, so that it is not some other server's answer.
     pub is_signed: bool,
-    /// Whether another instance has the address.
+    /// Whether another instance than the one meant has the address.
     pub wrong_instance: bool,
-    /// How busy it is.
+    /// The target's load.
     pub load: Option<Load>,
-    /// How long it keeps a resting connection.
-    pub keep: Option<Millis>,
+    /// How long the target keeps an idle connection.
+    pub idle_timeout: Option<Millis>,
 }
 
-/// A target as it lists itself.
+/// A target's entry in the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// This start of it.
+    /// One run of the target's process; a restart has another.
     pub instance: String,
     /// The service that it belongs to.
     pub service: String,
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its hall.
+    /// Its data hall.
     pub hall: String,
-    /// Requests that it takes at once.
+    /// Requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub is_ready: bool,
 }
 
-/// Translates between a deployment's wire and the product.
+/// A record of the deployment that cannot be read.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub))]
+pub enum BadRecord {
+    /// It is not JSON of the wanted shape.
+    #[snafu(display("{source}"))]
+    Json {
+        /// Where and why.
+        source: serde_json::Error,
+    },
+    /// A route's kind is not one that is known.
+    #[snafu(display("route {route}: unknown kind {kind:?}"))]
+    Kind {
+        /// The route's name.
+        route: String,
+        /// The kind that it has.
+        kind: String,
+    },
+    /// A route names no service.
+    #[snafu(display("route {route}: no service"))]
+    NoService {
+        /// The route's name.
+        route: String,
+    },
+}
+
+/// Translates between a deployment's wire and the types of this module.
 pub trait Dialect: Send + Sync {
-    /// Reads a caller's headers.
+    /// Decodes a caller's headers.
     ///
     /// # Errors
-    /// The first header that makes no sense.
-    fn ask(&self, headers: &HeaderMap) -> Result<Ask, BadHeader>;
+    /// The first header that cannot be read.
+    fn read_request(&self, headers: &HeaderMap) -> Result<Request, BadHeader>;
 
-    /// Changes a caller's headers into those for a target.
-    fn order(&self, headers: &mut HeaderMap, order: &Order<'_>);
+    /// Turns a caller's headers into those for a target.
+    ///
+    /// # Errors
+    /// A value that does not fit in a header; the request must not be sent without it.
+    fn write_forward(
+        &self,
+        headers: &mut HeaderMap,
+        forward: &Forward<'_>,
+    ) -> Result<(), BadForward>;
 
-    /// Reads the headers of a target's answer.
-    fn told(&self, status: u16, headers: &HeaderMap) -> Told;
+    /// Decodes the head of a target's answer.
+    fn read_reply(&self, status: u16, headers: &HeaderMap) -> Reply;
 
-    /// Reads a configuration.
+    /// Decodes a configuration.
     ///
     /// # Errors
     /// What is wrong with it.
-    fn config(&self, bytes: &[u8]) -> Result<Config, String>;
+    fn read_config(&self, bytes: &[u8]) -> Result<Config, BadRecord>;
 
-    /// Reads a target's listing.
+    /// Decodes a target's entry, which stands under `key`.
     ///
     /// # Errors
     /// What is wrong with it.
-    fn listing(&self, key: &str, bytes: &[u8]) -> Result<Listing, String>;
+    fn read_listing(&self, key: &str, bytes: &[u8]) -> Result<Listing, BadRecord>;
 
-    /// Whether a request asks for readiness.
+    /// Whether a request asks if this router is ready.
     fn is_ready_check(&self, uri: &Uri) -> bool;
 
-    /// The hall that a caller asks addresses for, if it asks for addresses.
-    fn asks_addresses(&self, uri: &Uri) -> Option<String>;
+    /// The caller's hall, if a request asks which addresses callers should use.
+    fn address_query(&self, uri: &Uri) -> Option<String>;
 
-    /// The answer to a question for addresses.
-    fn addresses(&self, addresses: &[SocketAddr], keep: Millis) -> Bytes;
+    /// Encodes the answer to such a question, which callers may use for `time_to_live`.
+    fn write_addresses(&self, addresses: &[SocketAddr], time_to_live: Millis) -> Bytes;
 
-    /// The body of a refusal, and the name of the header for its id.
-    fn refusal(&self, id: &str, reason: &str) -> (Bytes, HeaderMap);
+    /// Encodes the body and the headers of a refusal.
+    fn write_refusal(&self, id: &str, reason: &str) -> (Bytes, HeaderMap);
 }
--- /dev/null
+++ b/src/gateway/escrow/row.rs
@@ -0,0 +1,85 @@
+//! The rows of a customer's budget as the store keeps them, and a loan as routers ask for it. Both
+//! are encoded for other processes, so the order of fields is part of their form.
+
+use std::collections::{HashMap, HashSet};
+
+use serde::{Deserialize, Serialize};
+
+use crate::units::Tokens;
+
+/// What a router asks another one to lend it.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Loan {
+    /// Tokens that requests wait for and that it lacks.
+    pub lacking: Tokens,
+    /// Those, and its demand of a second.
+    pub wanted: Tokens,
+}
+
+/// A router's part of a customer's budget, as the store keeps it.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Row {
+    /// The process that holds it; a restart of the router has another.
+    pub incarnation: u64,
+    /// Tokens that earlier processes of the router have spent, or may have.
+    pub spent_before: Tokens,
+    /// Tokens that this process may spend, in all.
+    pub granted: Tokens,
+    /// Tokens that it had spent when it wrote this.
+    pub spent: Tokens,
+    /// Tokens that are asked of it in a second.
+    pub demand: u64,
+}
+
+/// All rows of a customer, as of the last read.
+#[derive(Clone, Debug, Default)]
+pub struct Ledger {
+    rows: HashMap<String, Row>,
+    /// Routers whose newest row could not be decoded.
+    unreadable: HashSet<String>,
+}
+
+impl Ledger {
+    /// Notes that a router's newest row cannot be decoded: it may grant any part of the budget, so
+    /// nothing more is granted until a newer row replaces it.
+    pub fn set_unreadable(&mut self, router: &str) {
+        self.unreadable.insert(router.to_owned());
+    }
+
+    /// Takes a row in, as the store has it.
+    pub fn set(&mut self, router: &str, row: Option<Row>) {
+        self.unreadable.remove(router);
+        match row {
+            Some(row) => self.rows.insert(router.to_owned(), row),
+            None => self.rows.remove(router),
+        };
+    }
+
+    /// A router's row.
+    pub fn row(&self, router: &str) -> Option<&Row> {
+        self.rows.get(router)
+    }
+
+    /// Whether the newest row of some router could not be decoded.
+    pub(super) fn has_unreadable(&self) -> bool {
+        !self.unreadable.is_empty()
+    }
+
+    /// Tokens that other routers than this were granted, or have spent before.
+    pub(super) fn committed_by_others(&self, router: &str) -> Tokens {
+        let others = self.rows.iter().filter(|(name, _)| *name != router);
+        others.map(|(_, row)| row.spent_before + row.granted).sum()
+    }
+
+    /// Tokens that other routers than this have spent, as far as their rows tell.
+    pub(super) fn spent_by_others(&self, router: &str) -> Tokens {
+        let others = self.rows.iter().filter(|(name, _)| *name != router);
+        others.map(|(_, row)| row.spent_before + row.spent).sum()
+    }
+
+    /// Tokens a second that are asked of other routers than this.
+    pub fn demand_of_others(&self, router: &str) -> u64 {
+        let others = self.rows.iter().filter(|(name, _)| *name != router);
+        others.map(|(_, row)| row.demand).sum()
+    }
+}
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,384 +1,368 @@
-//! A request on its way: where it is tried, what follows a try without an answer, and the answer.
+//! One request on its way through targets: each attempt, its judgement, and a plain answer.
 //!
-//! Only a try that has not reached a target, that the target says it has not run, or that may be
-//! repeated is followed by another.
+//! The exchange owns the request's body, its clock and its history of attempts. Whether there is
+//! another attempt is decided in [`retry`]; what a caller is told without one, in
+//! [`refusal`](super::decision::refusal).
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use http::{HeaderMap, Method, Response, header};
+use http::uri::PathAndQuery;
+use http::{HeaderMap, Method, Response, Uri};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use tokio::time::{Instant, timeout_at};
 
-use super::attempt::Ticket;
+use super::attempt::Attempt;
 use super::body::{self, Body};
-use super::dialect::{Ask, Order, Told};
-use super::failure::{Failure, Verdict};
-use super::relay::{Relay, remove_hop_headers};
-use super::reply::Reason;
+use super::decision::admission;
+use super::decision::refusal::Reason;
+use super::decision::retry::{self, Decision, Failure, History, Verdict};
+use super::dialect::{self, BadForward, Forward};
+use super::headers;
+use super::job::Job;
+use super::relay::Relay;
+use super::route::{Config, Route};
 use super::shared::Active;
-use super::state::{Arrival, Job, Refusal};
-use super::stream::Flow;
 use crate::ejection::Outcome;
-use crate::gateway::route::{Config, Kind, Route};
-use crate::net::{self, Line};
+use crate::net::{self, Connection};
 use crate::units::Millis;
 
-/// Targets that are tried in vain, without a connection, before a request is given up.
-const UNREACHED_MAX: u32 = 3;
-/// A grant is waited for during this part of the goal.
-const GRANT_WAIT_SHARE: u32 = 5;
-/// Longest plain answer that is kept whole before it is passed on, in bytes.
+/// Longest plain answer, in bytes: it is read completely before it is passed on.
 const ANSWER_MAX: usize = 8 << 20;
-/// What a target is told to take less than is left, for the way back.
-const WAY_BACK: Duration = Duration::from_millis(4);
+/// What a target is given less than the time that is left, so that its answer is back in time. Not
+/// measured: a few times the way between two halls.
+const RETURN_TIME: Duration = Duration::from_millis(4);
 
-/// A request that was admitted.
+/// A request that was let in.
 pub(super) struct Exchange {
     pub(super) relay: Arc<Relay>,
     pub(super) config: Arc<Config>,
     pub(super) route: Route,
-    pub(super) ask: Ask,
+    pub(super) request: dialect::Request,
     pub(super) started: Instant,
     pub(super) deadline: Instant,
-    pub(super) stride: u64,
+    /// Most tokens that one event of its stream stands for.
+    pub(super) event_tokens: u64,
     pub(super) customer: Option<String>,
     pub(super) rank: u8,
     pub(super) method: Method,
-    pub(super) path: String,
+    pub(super) path: PathAndQuery,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
+    /// Attempts that were sent to a target.
     pub(super) sent: u32,
+    /// Attempts that reached no target.
     pub(super) unreached: u32,
-    /// Whether a try may have run, so that no refusal promises the contrary.
-    pub(super) may_have_run: bool,
+    /// Whether any attempt so far may have run.
+    pub(super) verdict: Verdict,
     pub(super) _active: Active,
 }
 
-/// A target's answer whose body is still to come.
+/// The head of a target's answer; the body is still to come.
 pub(super) struct Answer {
-    pub(super) ticket: Ticket,
-    pub(super) line: Line,
+    pub(super) attempt: Attempt,
+    pub(super) connection: Connection,
     pub(super) parts: http::response::Parts,
     pub(super) incoming: Incoming,
-    pub(super) told: Told,
-    pub(super) tried_at: Instant,
+    pub(super) reply: dialect::Reply,
+    pub(super) attempted_at: Instant,
 }
 
-/// A whole plain answer.
-struct Whole {
+/// A plain answer that was read to its end.
+pub(super) struct Complete {
+    pub(super) attempt: Attempt,
+    pub(super) answer: Buffered,
+    /// The target's, unless it answered with a failure.
+    pub(super) outcome: Outcome,
+}
+
+/// A plain answer that can be passed on.
+pub(super) struct Buffered {
     parts: http::response::Parts,
     body: Bytes,
 }
 
+impl Buffered {
+    /// Whether the target failed.
+    pub(super) fn is_server_error(&self) -> bool {
+        self.parts.status.is_server_error()
+    }
+}
+
+/// An attempt that brought no answer to pass on.
+pub(super) struct Failed {
+    pub(super) attempt: Attempt,
+    pub(super) failure: Failure,
+}
+
+impl Failed {
+    /// Ends the request with it.
+    pub(super) fn end(self) {
+        self.attempt.end(self.failure.outcome());
+    }
+}
+
 impl Exchange {
+    /// Starts the first attempt.
+    ///
+    /// # Errors
+    /// Why the request does not run.
+    pub(super) async fn begin(&self) -> Result<Attempt, Reason> {
+        let wait = admission::grant_wait(self.route.latency_objective);
+        let begun = self.relay.controller.begin(self.job(), wait).await;
+        begun.map_err(Reason::Refused)
+    }
+
     fn job(&self) -> Job {
-        let services = self.route.backends.iter();
-        let services = services.map(|backend| {
+        let services = self.route.backends.iter().map(|backend| {
             let service = self.config.service(backend.service);
             (service.name.clone(), backend.weight)
         });
-        let prepaid = self.customer.as_ref().and_then(|name| {
-            let customer = self.config.customer(name)?;
-            Some((name.clone(), customer.prepaid?))
-        });
+        let customer = self.customer.as_ref();
+        let customer = customer.and_then(|name| self.config.customer(name));
         Job {
-            id: self.ask.id.clone(),
+            id: self.request.id.clone(),
             services: services.collect(),
-            prompt: self.ask.prompt.clone(),
-            payer: prepaid.filter(|_| self.ask.prompt.is_some()),
-        }
-    }
-
-    /// Answers the caller, or gives the reason why not.
-    pub(super) async fn run(mut self) -> Result<Response<Body>, Reason> {
-        let goal = Duration::from_millis(self.route.goal.0);
-        let ticket = self
-            .relay
-            .desk
-            .begin(self.job(), goal / GRANT_WAIT_SHARE)
-            .await;
-        let mut ticket = ticket.map_err(Reason::Refused)?;
-        loop {
-            let answer = match self.attempt(ticket).await {
-                Ok(answer) => answer,
-                Err(failure) => {
-                    ticket = self.next(failure).await?;
-                    continue;
-                }
-            };
-            if self.route.kind.is_stream() && answer.parts.status.is_success() {
-                match Flow::start(self, answer).await {
-                    Ok(response) => return Ok(response),
-                    Err((exchange, failure)) => {
-                        self = *exchange;
-                        ticket = self.next(failure).await?;
-                        continue;
-                    }
-                }
-            }
-            match self.collect(answer).await {
-                Ok(response) => return Ok(response),
-                Err(failure) => ticket = self.next(failure).await?,
-            }
+            prompt: self.request.prompt.clone(),
+            payer: admission::payer(customer, self.request.prompt.is_some()),
         }
     }
 
-    /// Goes on after a try without an answer, or gives the reason why not.
-    pub(super) async fn next(&mut self, failure: Failure) -> Result<Ticket, Reason> {
-        self.may_have_run |= failure.verdict == Verdict::MayHaveRun;
-        let reason = match failure.reason {
-            Reason::TargetRefused | Reason::Unreachable | Reason::Late if self.may_have_run => {
-                Reason::BrokenOff
-            }
-            reason => reason,
-        };
-        tracing::info!(
-            event = "try_failed",
-            id = %self.ask.id,
-            instance = %failure.ticket.go().instance,
-            reason = reason.word(),
-            tries = self.sent,
-            ms = self.started.elapsed().as_millis() as u64
-        );
-        let may_repeat = match failure.verdict {
-            Verdict::NotRun => true,
-            Verdict::MayHaveRun => self.route.kind.may_repeat(),
-        };
-        let is_left = self.sent < self.route.attempts && self.unreached < UNREACHED_MAX;
-        let in_time = Instant::now() < self.deadline && reason != Reason::TimedOut;
-        if !may_repeat || !is_left || !in_time {
-            failure.end();
-            return Err(reason);
-        }
-        let next = failure.ticket.again(failure.outcome, failure.arrival).await;
-        next.map_err(|refusal| match refusal {
-            Refusal::NoTarget | Refusal::NoRepeats => reason,
-            _ if self.may_have_run => Reason::BrokenOff,
-            other => Reason::Refused(other),
-        })
-        .inspect(|_| self.relay.shared.metrics.repeats.add(1))
-    }
-
-    /// Tries one target.
-    pub(super) async fn attempt(&mut self, ticket: Ticket) -> Result<Answer, Failure> {
-        let address = ticket.go().address;
-        let tried_at = Instant::now();
-        let Some(mut line) = self.relay.connect(address, self.deadline).await else {
+    /// Sends the request to the target of an attempt, and waits for the head of its answer.
+    pub(super) async fn attempt(&mut self, attempt: Attempt) -> Result<Answer, Failed> {
+        let attempted_at = Instant::now();
+        let address = attempt.placement().address;
+        let Some(mut connection) = self.relay.connect(address, self.deadline).await else {
             self.unreached += 1;
-            return Err(Failure::unreached(ticket));
+            return Err(failed(attempt, Failure::Unreachable));
         };
         if Instant::now() >= self.deadline {
-            return Err(Failure::late(ticket));
+            return Err(failed(attempt, Failure::Late));
         }
+        let request = match self.forward(&attempt) {
+            Ok(request) => request,
+            Err(error) => {
+                tracing::error!(event = "forward_unwritable", id = %self.request.id, %error);
+                self.unreached += 1;
+                return Err(failed(attempt, Failure::Unwritable));
+            }
+        };
         self.sent += 1;
-        let request = self.request(&ticket);
         tracing::info!(
-            event = "sent",
-            id = %self.ask.id,
+            event = "attempt_sent",
+            id = %self.request.id,
             route = %self.route.name,
             config = self.config.version,
-            instance = %ticket.go().instance,
-            tries = self.sent,
+            instance = %attempt.placement().instance,
+            attempts = self.sent,
             left_ms = self.left().as_millis() as u64
         );
-        self.send(ticket, &mut line, request)
-            .await
-            .map(|(ticket, response, told)| {
-                let (parts, incoming) = response.into_parts();
-                Answer {
-                    ticket,
-                    line,
-                    parts,
-                    incoming,
-                    told,
-                    tried_at,
-                }
-            })
+        let (parts, incoming, reply) = match self.send(&attempt, &mut connection, request).await {
+            Ok(head) => head,
+            Err(failure) => return Err(failed(attempt, failure)),
+        };
+        Ok(Answer {
+            attempt,
+            connection,
+            parts,
+            incoming,
+            reply,
+            attempted_at,
+        })
     }
 
     async fn send(
         &mut self,
-        ticket: Ticket,
-        line: &mut Line,
+        attempt: &Attempt,
+        connection: &mut Connection,
         request: net::Request,
-    ) -> Result<(Ticket, net::Response, Told), Failure> {
-        let sent = timeout_at(self.deadline, line.send(request)).await;
-        let response = match sent {
+    ) -> Result<(http::response::Parts, Incoming, dialect::Reply), Failure> {
+        let response = match timeout_at(self.deadline, connection.send(request)).await {
             Ok(Ok(response)) => response,
             Ok(Err(error)) if error.was_not_sent => {
-                // A resting connection had gone: nothing was written.
                 self.sent -= 1;
                 self.unreached += 1;
-                return Err(Failure::gone_before_use(ticket));
+                return Err(Failure::IdleClosed);
             }
-            Ok(Err(_)) => return Err(Failure::broken(ticket, Reason::BrokenOff)),
-            Err(_) => return Err(Failure::broken(ticket, Reason::TimedOut)),
+            Ok(Err(_)) => return Err(Failure::BrokenOff),
+            Err(_) => return Err(Failure::TimedOut),
         };
-        let told = self
+        let (parts, incoming) = response.into_parts();
+        let status = parts.status;
+        let reply = self
             .relay
             .dialect
-            .told(response.status().as_u16(), response.headers());
-        if told.not_run {
-            return Err(Failure::refused(ticket, &told));
+            .read_reply(status.as_u16(), &parts.headers);
+        if reply.not_run {
+            if reply.load.is_some() {
+                attempt.answered(reply.load);
+            }
+            return Err(if reply.wrong_instance {
+                Failure::WrongInstance
+            } else {
+                Failure::Refused
+            });
         }
-        let is_ours = told.id.as_deref() == Some(self.ask.id.as_str());
-        if !is_ours || (response.status().is_success() && !told.is_signed) {
-            tracing::warn!(event = "foreign_answer", id = %self.ask.id, told = ?told.id);
-            return Err(Failure::broken(ticket, Reason::BrokenOff));
+        let is_ours = reply.id.as_deref() == Some(self.request.id.as_str());
+        if !is_ours || (status.is_success() && !reply.is_signed) {
+            tracing::warn!(event = "foreign_answer", id = %self.request.id, answers = ?reply.id);
+            return Err(Failure::BrokenOff);
         }
-        ticket.answered(told.load);
-        Ok((ticket, response, told))
+        attempt.answered(reply.load);
+        Ok((parts, incoming, reply))
     }
 
-    /// The request as the target gets it.
-    pub(super) fn request(&self, ticket: &Ticket) -> net::Request {
-        let left = self.left().saturating_sub(WAY_BACK);
+    /// The request as the target of an attempt gets it.
+    fn forward(&self, attempt: &Attempt) -> Result<net::Request, BadForward> {
+        let left = self.left().saturating_sub(RETURN_TIME);
+        let forward = Forward {
+            time_limit: Millis(millis(left).max(1)),
+            instance: &attempt.placement().instance,
+            customer: self.customer.as_deref(),
+            rank: self.request.prompt.as_ref().map(|_| self.rank),
+            last_event: self.request.last_event.as_deref(),
+        };
         let mut headers = self.headers.clone();
-        self.relay.dialect.order(
-            &mut headers,
-            &Order {
-                deadline: Millis(u64::try_from(left.as_millis()).unwrap_or(u64::MAX).max(1)),
-                instance: &ticket.go().instance,
-                customer: self.customer.as_deref(),
-                rank: self.ask.prompt.as_ref().map(|_| self.rank),
-                last_event: self.ask.last_event.as_deref(),
-            },
-        );
+        self.relay.dialect.write_forward(&mut headers, &forward)?;
         let mut request = http::Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
-        *request.uri_mut() = self.path.parse().unwrap_or_default();
+        *request.uri_mut() = Uri::from(self.path.clone());
         *request.headers_mut() = headers;
-        request
+        Ok(request)
     }
 
     pub(super) fn left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Resends a stream that may be resumed, after its last event.
-    pub(super) async fn resume(
-        &mut self,
-        failure: Failure,
-        last_event: Option<&str>,
-    ) -> Result<Answer, Reason> {
-        let mut ticket = self.next(failure).await?;
-        if let Some(last) = last_event {
-            self.ask.last_event = Some(last.to_owned());
-        }
-        loop {
-            match self.attempt(ticket).await {
-                Ok(answer) if answer.parts.status.is_success() => return Ok(answer),
-                Ok(answer) => {
-                    let failure = Failure::broken(answer.ticket, Reason::BrokenOff);
-                    ticket = self.next(failure).await?;
-                }
-                Err(failure) => ticket = self.next(failure).await?,
-            }
+    fn history(&self) -> History {
+        History {
+            kind: self.route.kind,
+            attempts_max: self.route.attempts,
+            sent: self.sent,
+            unreached: self.unreached,
+            is_expired: Instant::now() >= self.deadline,
         }
     }
 
-    /// Takes a plain answer whole before it is passed on, so that one that breaks off is not
-    /// passed on at all.
-    async fn collect(&mut self, answer: Answer) -> Result<Response<Body>, Failure> {
-        let Answer {
-            mut ticket,
-            line,
-            parts,
-            incoming,
-            told,
-            tried_at,
-        } = answer;
-        let body = timeout_at(self.deadline, Limited::new(incoming, ANSWER_MAX).collect()).await;
-        let body = match body {
-            Ok(Ok(body)) => body.to_bytes(),
-            Ok(Err(_)) => return Err(Failure::broken(ticket, Reason::BrokenOff)),
-            Err(_) => return Err(Failure::broken(ticket, Reason::TimedOut)),
-        };
-        let address = ticket.go().address;
-        self.relay.rest(address, line, &told);
-        let is_failure = parts.status.is_server_error();
-        let whole = Whole { parts, body };
-        let outcome = Some(outcome(is_failure, tried_at));
-        ticket.hand_out();
-        if is_failure && self.may_try_again() {
-            let again = ticket.again(outcome, Arrival::Yes).await;
-            let Ok(ticket) = again else {
-                return Ok(self.pass(whole));
-            };
-            self.relay.shared.metrics.repeats.add(1);
-            return match Box::pin(self.second(ticket)).await {
-                Some(response) => Ok(response),
-                None => Ok(self.pass(whole)),
-            };
+    /// Starts another attempt after one that failed.
+    ///
+    /// # Errors
+    /// What the caller is told where there is none.
+    pub(super) async fn retry(&mut self, failed: Failed) -> Result<Attempt, Reason> {
+        let failure = failed.failure;
+        if failure.verdict() == Verdict::MayHaveRun {
+            self.verdict = Verdict::MayHaveRun;
         }
-        ticket.end(outcome);
-        Ok(self.pass(whole))
+        let reason = Reason::of(failure, self.verdict);
+        self.next(failed, reason.word()).await.ok_or(reason)
     }
 
-    fn may_try_again(&self) -> bool {
-        self.route.kind == Kind::Repeatable
-            && self.sent < self.route.attempts
-            && Instant::now() < self.deadline
+    /// Starts another attempt after a target's own failure, which can be passed on otherwise.
+    pub(super) async fn retry_server_error(&mut self, attempt: Attempt) -> Option<Attempt> {
+        let failure = Failure::ServerError;
+        self.next(failed(attempt, failure), "server_error").await
     }
 
-    /// Tries once more after a failure that could be passed on.
-    async fn second(&mut self, ticket: Ticket) -> Option<Response<Body>> {
-        match self.attempt(ticket).await {
-            Ok(answer) => match self.collect(answer).await {
-                Ok(response) => Some(response),
-                Err(failure) => {
-                    failure.end();
-                    None
-                }
-            },
-            Err(failure) => {
-                failure.end();
+    /// Starts another attempt, if the rules, the targets and the retry budget allow one.
+    async fn next(&mut self, failed: Failed, reason: &'static str) -> Option<Attempt> {
+        let Failed { attempt, failure } = failed;
+        let decision = retry::decide(failure, &self.history());
+        let limit = match decision {
+            Decision::Retry => "none",
+            Decision::GiveUp(limit) => limit.word(),
+        };
+        tracing::info!(
+            event = "attempt_failed",
+            id = %self.request.id,
+            instance = %attempt.placement().instance,
+            reason,
+            limit,
+            attempts = self.sent,
+            unreached = self.unreached,
+            ms = self.started.elapsed().as_millis() as u64
+        );
+        if let Decision::GiveUp(_) = decision {
+            attempt.end(failure.outcome());
+            return None;
+        }
+        match attempt.retry(failure.outcome(), failure.charge()).await {
+            Ok(next) => {
+                self.relay.shared.metrics.repeats.add(1);
+                Some(next)
+            }
+            Err(refusal) => {
+                let reason = Reason::Refused(refusal).word();
+                tracing::info!(event = "retry_refused", id = %self.request.id, reason);
                 None
             }
         }
     }
 
-    fn pass(&self, whole: Whole) -> Response<Body> {
+    /// Reads a plain answer to its end before any of it is passed on, so that one that breaks off is
+    /// not passed on at all.
+    pub(super) async fn collect(&mut self, answer: Answer) -> Result<Complete, Failed> {
+        let Answer {
+            mut attempt,
+            connection,
+            parts,
+            incoming,
+            reply,
+            attempted_at,
+        } = answer;
+        let collected = Limited::new(incoming, ANSWER_MAX).collect();
+        let body = match timeout_at(self.deadline, collected).await {
+            Ok(Ok(body)) => body.to_bytes(),
+            Ok(Err(_)) => return Err(failed(attempt, Failure::BrokenOff)),
+            Err(_) => return Err(failed(attempt, Failure::TimedOut)),
+        };
+        self.relay
+            .keep(attempt.placement().address, connection, &reply);
+        attempt.deliver_some();
+        Ok(Complete {
+            attempt,
+            answer: Buffered { parts, body },
+            outcome: answered(attempted_at),
+        })
+    }
+
+    /// Passes a plain answer on.
+    pub(super) fn pass(&self, answer: Buffered) -> Response<Body> {
         let elapsed = self.started.elapsed();
         let metrics = &self.relay.shared.metrics;
         metrics.answered.add(1);
         metrics.plain.note(elapsed);
         tracing::info!(
             event = "answered",
-            id = %self.ask.id,
-            status = whole.parts.status.as_u16(),
-            bytes = whole.body.len(),
-            tries = self.sent,
+            id = %self.request.id,
+            status = answer.parts.status.as_u16(),
+            bytes = answer.body.len(),
+            attempts = self.sent,
             ms = elapsed.as_millis() as u64
         );
-        let mut parts = whole.parts;
-        remove_hop_headers(&mut parts.headers);
-        parts.headers.remove(header::CONTENT_LENGTH);
-        let mut response = Response::from_parts(parts, Body::whole(whole.body));
-        *response.version_mut() = http::Version::HTTP_11;
-        response
+        respond(answer.parts, Body::full(answer.body))
     }
 }
 
-/// How a target is judged by an answer.
-pub(super) fn outcome(is_failure: bool, tried_at: Instant) -> Outcome {
-    if is_failure {
-        return Outcome::Failed;
-    }
-    let whole = Millis(u64::try_from(tried_at.elapsed().as_millis()).unwrap_or(u64::MAX));
-    Outcome::Answered { whole }
+pub(super) fn failed(attempt: Attempt, failure: Failure) -> Failed {
+    Failed { attempt, failure }
+}
+
+/// The outcome of an attempt whose answer has come to its end now.
+pub(super) fn answered(attempted_at: Instant) -> Outcome {
+    let took = Millis(millis(attempted_at.elapsed()));
+    Outcome::Answered { took }
+}
+
+fn millis(span: Duration) -> u64 {
+    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// The answer for a stream that has begun.
-pub(super) fn streamed(
-    mut parts: http::response::Parts,
-    flow: impl futures::Stream<Item = Result<Bytes, body::Broken>> + Send + 'static,
-) -> Response<Body> {
-    remove_hop_headers(&mut parts.headers);
-    parts.headers.remove(header::CONTENT_LENGTH);
+/// A target's answer as the caller gets it.
+pub(super) fn respond(mut parts: http::response::Parts, body: body::Body) -> Response<Body> {
+    headers::strip_response(&mut parts.headers);
     parts.version = http::Version::HTTP_11;
-    Response::from_parts(parts, body::stream(flow))
+    Response::from_parts(parts, body)
 }
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -1,4 +1,5 @@
-//! The listeners of a gateway, and what each of them answers.
+//! The listeners of a gateway, and what each of them answers. It relies on [`serve`](super::serve) for
+//! callers' requests and owns no state.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -15,31 +16,32 @@
 use super::body::Body;
 use super::dialect::Dialect;
 use super::relay::Relay;
+use super::serve;
 use super::shared::Shared;
 use crate::units::Millis;
 
-/// Pause after a connection could not be accepted.
+/// Pause after a connection could not be accepted, so that a lack of sockets does not spin.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// Least buffer for a head and the start of a body, in bytes.
+/// Smallest buffer for a head and the start of a body, in bytes; the server takes no smaller one.
 const BUFFER_MIN: usize = 16 << 10;
 
-/// What one listener answers.
+/// What one listener serves.
 #[derive(Clone)]
-pub enum Door {
+pub enum Endpoint {
     /// Callers' requests.
-    Front(Arc<Relay>),
+    Callers(Arc<Relay>),
     /// Whether this router is ready.
     Ready(Arc<Shared>, Arc<dyn Dialect>),
-    /// Which addresses to use, and for how long an answer may be kept.
+    /// Which addresses callers should use, and for how long they may use them.
     Directory(Arc<Shared>, Arc<dyn Dialect>, Millis),
     /// Counters; the function tells how many log lines were dropped.
     Metrics(Arc<Shared>, fn() -> u64),
 }
 
-impl Door {
+impl Endpoint {
     async fn answer(&self, request: hyper::Request<Incoming>) -> Response<Body> {
         match self {
-            Self::Front(relay) => relay.serve(request).await,
+            Self::Callers(relay) => serve::serve(relay, request).await,
             Self::Ready(shared, dialect) => {
                 let asks = dialect.is_ready_check(request.uri());
                 let status = match (asks, shared.is_ready()) {
@@ -47,18 +49,18 @@
                     (true, true) => StatusCode::OK,
                     (true, false) => StatusCode::SERVICE_UNAVAILABLE,
                 };
-                plain(status, "text/plain", Body::whole(""))
+                plain(status, "text/plain", Body::full(""))
             }
-            Self::Directory(shared, dialect, keep) => {
-                if dialect.asks_addresses(request.uri()).is_none() {
-                    return plain(StatusCode::NOT_FOUND, "text/plain", Body::whole(""));
+            Self::Directory(shared, dialect, time_to_live) => {
+                if dialect.address_query(request.uri()).is_none() {
+                    return plain(StatusCode::NOT_FOUND, "text/plain", Body::full(""));
                 }
-                let body = dialect.addresses(&shared.fronts.load(), *keep);
-                plain(StatusCode::OK, "application/json", Body::whole(body))
+                let body = dialect.write_addresses(&shared.caller_addresses.load(), *time_to_live);
+                plain(StatusCode::OK, "application/json", Body::full(body))
             }
             Self::Metrics(shared, dropped) => {
                 let text = shared.metrics.text(dropped());
-                plain(StatusCode::OK, "text/plain", Body::whole(text))
+                plain(StatusCode::OK, "text/plain", Body::full(text))
             }
         }
     }
@@ -72,13 +74,13 @@
     response
 }
 
-/// Serves a door until the process ends.
-pub async fn serve(listener: TcpListener, shared: Arc<Shared>, door: Door) {
+/// Serves an endpoint until the process ends.
+pub async fn serve(listener: TcpListener, shared: Arc<Shared>, endpoint: Endpoint) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let (shared, door) = (Arc::clone(&shared), door.clone());
-                tokio::spawn(connection(stream, shared, door));
+                let (shared, endpoint) = (Arc::clone(&shared), endpoint.clone());
+                tokio::spawn(connection(stream, shared, endpoint));
             }
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error);
@@ -91,7 +93,7 @@
 fn connection(
     stream: TcpStream,
     shared: Arc<Shared>,
-    door: Door,
+    endpoint: Endpoint,
 ) -> impl Future<Output = ()> + Send {
     let config = shared.config.load();
     let limits = config
@@ -99,9 +101,9 @@
         .map(|config| config.limits)
         .unwrap_or_default();
     let service = service_fn(move |request| {
-        let (shared, door) = (Arc::clone(&shared), door.clone());
+        let (shared, endpoint) = (Arc::clone(&shared), endpoint.clone());
         async move {
-            let mut response = door.answer(request).await;
+            let mut response = endpoint.answer(request).await;
             if shared.is_stopping() {
                 let close = HeaderValue::from_static("close");
                 response.headers_mut().insert(header::CONNECTION, close);
@@ -109,8 +111,11 @@
             Ok::<_, Infallible>(response)
         }
     });
-    let _ = stream.set_nodelay(true);
-    // The time for a head also runs while a connection rests, so it is that of the rest.
+    if let Err(error) = stream.set_nodelay(true) {
+        // The connection still works, only slower.
+        tracing::debug!(event = "nodelay_failed", %error);
+    }
+    // The time for a head also runs while a connection is idle, so it is the idle time.
     let idle = Duration::from_millis(limits.idle_time.0);
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -1,4 +1,7 @@
-//! The routers of the fleet, as they list themselves in the store and are heard on their links.
+//! The routers of the fleet: who is live, who holds a customer's grants, where callers may connect.
+//!
+//! A router is live while its heartbeats arrive, by the store or by a link, and its link answers.
+//! Nothing about money follows from that; a router that is wrongly taken for dead loses callers only.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,17 +11,18 @@
 
 use crate::units::Millis;
 
-/// Heartbeats that may be missed before a router counts as gone.
+/// Heartbeats that may be missed before a router counts as dead. Not measured: the usual figure.
 const MISSED_MAX: u64 = 3;
-/// Addresses of one answer.
+/// Addresses that callers are told at once: more than they try, and within one packet.
 const ADDRESSES_MAX: usize = 64;
 
-/// A router, as it lists itself.
+/// A router's entry in the store. It is encoded for other processes, so the order of fields is part of
+/// its form.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Router {
-    /// Its name, which a process that follows on the same host has too.
+    /// Its name; the next process on the same host has the same.
     pub name: String,
-    /// This process.
+    /// One run of its process; a restart has another.
     pub incarnation: u64,
     /// Where callers connect.
     pub front: SocketAddr,
@@ -28,23 +32,24 @@
     pub hall: String,
     /// Whether it takes callers.
     pub is_ready: bool,
-    /// Counts its heartbeats.
-    pub beat: u64,
+    /// Number of its last heartbeat.
+    pub heartbeat: u64,
 }
 
 #[derive(Clone, Debug)]
 struct Member {
     router: Router,
-    heard: Millis,
-    unreachable: bool,
+    last_heartbeat: Millis,
+    /// Whether its link did not answer since.
+    is_unreachable: bool,
 }
 
-/// How a router was heard of.
+/// Where a heartbeat came from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// By what it wrote to the store, at some time.
+    /// The store, which has it since some time.
     Store,
-    /// By itself, now.
+    /// The router's own link, just now.
     Link,
 }
 
@@ -55,28 +60,29 @@
     pub me: Router,
     interval: Millis,
     known: BTreeMap<String, Member>,
-    most: usize,
+    largest: usize,
 }
 
 impl Members {
-    /// Only this router, with the interval of heartbeats.
+    /// This router alone, with the interval of heartbeats.
     pub fn new(me: Router, interval: Millis) -> Self {
         Self {
             me,
             interval,
             known: BTreeMap::new(),
-            most: 1,
+            largest: 1,
         }
     }
 
-    /// Takes in what a router tells of itself. Whether that is a change is returned.
-    pub fn hear(&mut self, now: Millis, router: Router, source: Source) -> bool {
+    /// Takes in a router's heartbeat; whether something changed that others depend on.
+    pub fn update(&mut self, now: Millis, router: Router, source: Source) -> bool {
         if router.name == self.me.name {
             return false;
         }
         let known = self.known.get(&router.name);
         let newer = known.is_none_or(|member| {
-            member.router.incarnation != router.incarnation || member.router.beat < router.beat
+            member.router.incarnation != router.incarnation
+                || member.router.heartbeat < router.heartbeat
         });
         if !newer && source == Source::Store {
             return false;
@@ -87,28 +93,28 @@
                 || !self.is_live(now, member)
         });
         let member = Member {
-            heard: now,
-            unreachable: false,
+            last_heartbeat: now,
+            is_unreachable: false,
             router,
         };
         self.known.insert(member.router.name.clone(), member);
-        self.most = self.most.max(self.known.len() + 1);
+        self.largest = self.largest.max(self.known.len() + 1);
         changed
     }
 
-    /// Notes that a router does not answer on its link.
-    pub fn miss(&mut self, name: &str, incarnation: u64) -> bool {
+    /// Notes that a router's link does not answer; whether that is new.
+    pub fn set_unreachable(&mut self, name: &str, incarnation: u64) -> bool {
         match self.known.get_mut(name) {
             Some(member) if member.router.incarnation == incarnation => {
-                !std::mem::replace(&mut member.unreachable, true)
+                !std::mem::replace(&mut member.is_unreachable, true)
             }
             _ => false,
         }
     }
 
     fn is_live(&self, now: Millis, member: &Member) -> bool {
-        let silent = now.saturating_sub(member.heard);
-        !member.unreachable && silent.0 <= self.interval.0 * MISSED_MAX
+        let silent = now.saturating_sub(member.last_heartbeat);
+        !member.is_unreachable && silent.0 <= self.interval.0 * MISSED_MAX
     }
 
     /// Interval of heartbeats.
@@ -116,7 +122,7 @@
         std::time::Duration::from_millis(self.interval.0)
     }
 
-    /// The other routers, live ones only.
+    /// The other routers that are live.
     pub fn live(&self, now: Millis) -> impl Iterator<Item = &Router> {
         let live = self
             .known
@@ -126,7 +132,7 @@
     }
 
     /// The routers that hold a customer's grants, at most `count`: those that come first in an order
-    /// that depends only on the customer, so that routers agree without a word.
+    /// that depends on the customer and the names only, so that routers agree without asking.
     pub fn holders(&self, now: Millis, customer: &str, count: usize) -> Vec<&Router> {
         let seed = xxh3_64(customer.as_bytes());
         let ready = self.live(now).filter(|router| router.is_ready);
@@ -137,34 +143,35 @@
         holders
     }
 
-    /// All other routers that were ever heard of.
+    /// All other routers that were ever live.
     pub fn known(&self) -> impl Iterator<Item = &Router> {
         self.known.values().map(|member| &member.router)
     }
 
-    /// Routers of the fleet, at most seen so far.
+    /// Largest number of routers that the fleet was seen to have. Bounds that the fleet shares are
+    /// divided by it, so it does not fall when routers are only silent.
     pub fn count(&self) -> usize {
-        self.most
+        self.largest
     }
 
-    /// Where callers may connect: the live routers that take them. Where nobody is heard, silence
-    /// proves nothing about the others, so all that are known are told.
-    pub fn fronts(&self, now: Millis) -> Vec<SocketAddr> {
+    /// Where callers may connect: the live routers that take them. Where no other is live, it is more
+    /// likely this router that is cut off, so all that were ever live are told.
+    pub fn caller_addresses(&self, now: Millis) -> Vec<SocketAddr> {
         let ready = |router: &&Router| router.is_ready;
-        let mut fronts: Vec<SocketAddr> = self
+        let mut addresses: Vec<SocketAddr> = self
             .live(now)
             .filter(ready)
             .map(|router| router.front)
             .collect();
         if self.live(now).next().is_none() {
             let routers = self.known.values().map(|member| &member.router);
-            fronts = routers.filter(ready).map(|router| router.front).collect();
+            addresses = routers.filter(ready).map(|router| router.front).collect();
         }
-        if self.me.is_ready || fronts.is_empty() {
-            fronts.push(self.me.front);
+        if self.me.is_ready || addresses.is_empty() {
+            addresses.push(self.me.front);
         }
-        fronts.sort_unstable();
-        fronts.truncate(ADDRESSES_MAX);
-        fronts
+        addresses.sort_unstable();
+        addresses.truncate(ADDRESSES_MAX);
+        addresses
     }
 }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters and latency histograms, as text.
+//! Counters and latency histograms, and their text at the metrics address. The fields' names are the
+//! metrics' names.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -9,7 +10,7 @@
 
 /// Significant digits of a histogram.
 const DIGITS: u8 = 2;
-/// Longest latency told apart, in microseconds.
+/// Longest latency that is told apart, in microseconds.
 const LATENCY_MAX: u64 = 60_000_000;
 
 /// A number that only rises.
@@ -79,13 +80,13 @@
     answered,
     /// Requests that were refused, and have not run.
     refused,
-    /// Requests of which nobody can tell whether they ran.
+    /// Requests that were refused, and may have run.
     uncertain,
     /// Requests whose caller left.
     cancelled,
-    /// Tries beyond the first.
+    /// Attempts beyond the first.
     repeats,
-    /// Streams that were taken up at another target.
+    /// Streams that were resumed at another target.
     resumed,
     /// Streams that broke off.
     broken,
@@ -104,6 +105,7 @@
     pub fn text(&self, dropped: u64) -> String {
         let mut text = String::new();
         for (name, value) in self.counters() {
+            // Writing to a string does not fail; the same holds below.
             let _ = writeln!(text, "lanedeck_{name}_total {value}");
         }
         let _ = writeln!(text, "lanedeck_log_lines_dropped_total {dropped}");
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,31 +1,33 @@
 //! A gateway: the router process towards callers that speak a deployment's own dialect.
 //!
-//! [`state`] decides, on the control thread; `relay`, `exchange` and `stream` carry bytes, on the
-//! traffic thread. What a
-//! deployment calls things is the business of its [`Dialect`] and of its [`Store`](crate::store::Store).
+//! One thread owns the control state ([`state`]) and runs [`control`]; the others carry bytes
+//! ([`listener`], `serve`, `exchange`, `stream`). The rules by which a request is admitted, placed,
+//! retried and given up, and grants are sized, are in [`decision`], one module each. What lasts is
+//! kept in the deployment's [`store`](crate::store); what its wire looks like is the business of its
+//! [`Dialect`](dialect::Dialect).
 
-mod attempt;
+pub mod attempt;
 pub mod body;
 pub mod control;
 pub mod decision;
 pub mod dialect;
 pub mod escrow;
 mod exchange;
-mod failure;
-mod listener;
+mod headers;
+pub mod job;
+pub mod listener;
 pub mod members;
+pub mod message;
 pub mod metrics;
 mod process;
-mod relay;
-mod reply;
+pub mod relay;
+pub mod reply;
 pub mod route;
+mod serve;
 pub mod shared;
-mod sse;
+pub mod sse;
 pub mod state;
 mod stream;
 pub mod target;
 
-pub use dialect::{Ask, BadHeader, Dialect, Listing, Load, Order, Part, Prompt, Told};
 pub use process::{Options, run};
-pub use reply::Reason;
-pub use sse::Events;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -1,4 +1,8 @@
 //! A gateway's process: its listeners, its threads, and how it stops.
+//!
+//! The control thread is the only one that changes the control state; traffic runs on the caller's
+//! runtime. On SIGTERM or SIGINT the router tells callers to go elsewhere, finishes what it has begun
+//! within the time to stop, gives its grants back and ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,26 +12,30 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::attempt::Desk;
-use super::control::{self, Message};
+use super::attempt::{Controller, Message};
+use super::control;
+use super::decision::admission::Stop;
 use super::dialect::Dialect;
-use super::listener::{Door, serve};
+use super::listener::{Endpoint, serve};
 use super::relay::Relay;
-use super::shared::{Shared, Stop};
+use super::shared::Shared;
 use super::state::Settings;
 use crate::net::Pool;
 use crate::store::Store;
 use crate::units::Millis;
 
-/// How often a stopping gateway looks whether its requests have ended.
+/// Interval at which a stopping gateway checks whether its requests have ended.
 const STOP_POLL: Duration = Duration::from_millis(25);
-/// Left at the end of the time to stop, to give grants back and to exit.
+/// Left at the end of the time to stop, to give grants back and to exit: twice [`GIVE_BACK_MAX`] and
+/// some room.
 const STOP_RESERVE: Duration = Duration::from_millis(1_150);
-/// Part of the time to stop in which any request is still taken.
+/// Part of the time to stop, 0 to 1, in which any request is still let in. Not measured.
 const LINGER_SHARE: f64 = 0.4;
-/// Longest time to give grants back.
+/// Times the life of an answer about addresses in which callers may still come by it. Not measured.
+const LINGER_TTLS: f64 = 1.5;
+/// Longest time to give grants back. Not measured: a write to the store and a loan take far less.
 const GIVE_BACK_MAX: Duration = Duration::from_millis(500);
-/// Between two looks for connections that are no longer needed.
+/// Interval at which connections to targets that are gone are closed.
 const SWEEP_GAP: Duration = Duration::from_secs(2);
 
 /// What a gateway is started with.
@@ -48,8 +56,8 @@
     pub directory: TcpListener,
     /// For metrics, where they are wanted.
     pub metrics: Option<TcpListener>,
-    /// How long callers may keep addresses.
-    pub keep: Millis,
+    /// How long callers may use an answer about addresses.
+    pub address_ttl: Millis,
     /// Longest time to stop.
     pub grace: Millis,
     /// What the deployment speaks.
@@ -73,7 +81,7 @@
     let mut hangup = signal(SignalKind::hangup())?;
     let (sender, messages) = mpsc::unbounded_channel();
     let shared = Arc::new(Shared::default());
-    shared.set_fronts(vec![options.settings.me.front]);
+    shared.set_caller_addresses(vec![options.settings.me.front]);
     tracing::info!(
         event = "started",
         name = %options.settings.me.name,
@@ -92,25 +100,25 @@
         partitions: options.partitions,
         messages,
     });
-    let desk = Desk::new(sender);
+    let controller = Controller::new(sender);
     let relay = Arc::new(Relay {
         shared: Arc::clone(&shared),
-        desk: desk.clone(),
+        controller: controller.clone(),
         dialect: Arc::clone(&dialect),
         pool: Pool::default(),
     });
-    let open = |listener, door| tokio::spawn(serve(listener, Arc::clone(&shared), door));
-    open(options.front, Door::Front(Arc::clone(&relay)));
+    let open = |listener, endpoint| tokio::spawn(serve(listener, Arc::clone(&shared), endpoint));
+    open(options.front, Endpoint::Callers(Arc::clone(&relay)));
     open(
         options.ready,
-        Door::Ready(Arc::clone(&shared), Arc::clone(&dialect)),
+        Endpoint::Ready(Arc::clone(&shared), Arc::clone(&dialect)),
     );
-    let directory = Door::Directory(Arc::clone(&shared), dialect, options.keep);
+    let directory = Endpoint::Directory(Arc::clone(&shared), dialect, options.address_ttl);
     open(options.directory, directory);
     if let Some(listener) = options.metrics {
         open(
             listener,
-            Door::Metrics(Arc::clone(&shared), options.dropped),
+            Endpoint::Metrics(Arc::clone(&shared), options.dropped),
         );
     }
     tokio::spawn(sweep(relay));
@@ -124,36 +132,39 @@
             },
         }
     }
-    stop(&shared, &desk, options.keep, options.grace).await;
+    stop(&shared, &controller, options.address_ttl, options.grace).await;
     Ok(())
 }
 
 async fn sweep(relay: Arc<Relay>) {
     loop {
         sleep(SWEEP_GAP).await;
-        let targets = relay.shared.targets.load_full();
-        relay.pool.retain(|address| targets.contains(&address));
+        let used = relay.shared.target_addresses.load_full();
+        relay.pool.retain(|address| used.contains(&address));
     }
 }
 
-async fn stop(shared: &Shared, desk: &Desk, keep: Millis, grace: Millis) {
+async fn stop(shared: &Shared, controller: &Controller, address_ttl: Millis, grace: Millis) {
     let since = Instant::now();
-    let most = Duration::from_millis(grace.0).saturating_sub(STOP_RESERVE);
-    // Callers that hold an earlier answer still come for a while.
-    let linger = Duration::from_millis(keep.0 * 3 / 2).min(most.mul_f64(LINGER_SHARE));
+    let limit = Duration::from_millis(grace.0).saturating_sub(STOP_RESERVE);
+    // Callers that hold an earlier answer about addresses still come for a while.
+    let linger = Duration::from_millis(address_ttl.0).mul_f64(LINGER_TTLS);
+    let linger = linger.min(limit.mul_f64(LINGER_SHARE));
     shared.set_stopping(Stop {
         late: since + linger,
-        end: since + most,
+        end: since + limit,
     });
     tracing::info!(event = "stopping", active = shared.active());
-    desk.tell(Message::Leave);
-    while since.elapsed() < most && (since.elapsed() < linger || shared.active() > 0) {
+    controller.tell(Message::Leave);
+    while since.elapsed() < limit && (since.elapsed() < linger || shared.active() > 0) {
         sleep(STOP_POLL).await;
     }
     let cut = shared.active();
     let (done, closed) = oneshot::channel();
-    desk.tell(Message::Close { done });
-    let _ = timeout(GIVE_BACK_MAX, closed).await;
+    controller.tell(Message::Close { done });
+    if timeout(GIVE_BACK_MAX, closed).await.is_err() {
+        tracing::warn!(event = "give_back_timed_out");
+    }
     tracing::info!(
         event = "stopped",
         cut,
--- a/src/gateway/route/config.rs
+++ b/src/gateway/route/config.rs
@@ -75,8 +75,8 @@
     pub kind: Kind,
     /// Longest time that a request is held.
     pub timeout: Millis,
-    /// Time to the first byte of an answer that is worth most.
-    pub goal: Millis,
+    /// Time to the first byte of an answer within which it is worth most.
+    pub latency_objective: Millis,
     /// Targets that one request may be sent to, at least 1.
     pub attempts: u32,
     /// Rank of its requests; 0 goes first.
@@ -90,8 +90,8 @@
 pub struct Engine {
     /// Requests that run at once.
     pub slots: u32,
-    /// Tokens that one event of a stream may hold.
-    pub stride: u64,
+    /// Most tokens that one event of a stream stands for.
+    pub event_tokens: u64,
 }
 
 /// Targets that do the same work.
@@ -99,7 +99,7 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Connections that one of its targets takes from all routers together.
+    /// Connections that one of its targets takes from all routers together. Not enforced.
     pub connections: u32,
     /// Set where its targets are model engines.
     pub engine: Option<Engine>,
@@ -125,9 +125,9 @@
     pub header_bytes: usize,
     /// Longest body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head.
+    /// Longest time for a head. Not enforced: heads are bounded by `idle_time`.
     pub header_time: Millis,
-    /// Longest rest of a connection.
+    /// Longest time that a connection is idle.
     pub idle_time: Millis,
 }
 
--- /dev/null
+++ b/src/gateway/serve.rs
@@ -0,0 +1,203 @@
+//! Serves one caller's request from its first byte to its answer.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use bytes::Bytes;
+use http::uri::PathAndQuery;
+use http::{Response, header};
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::Incoming;
+use tokio::time::{Instant, timeout_at};
+
+use super::body::Body;
+use super::decision::admission;
+use super::decision::refusal::Reason;
+use super::decision::retry::Verdict;
+use super::dialect;
+use super::exchange::{Answer, Buffered, Exchange};
+use super::headers;
+use super::relay::Relay;
+use super::reply;
+use super::shared::Active;
+use super::stream::Stream;
+
+/// Notes a caller that leaves before it has the head of an answer: what serves it is then dropped.
+struct Departure<'a> {
+    relay: &'a Relay,
+    id: &'a str,
+    started: Instant,
+    has_answer: bool,
+}
+
+impl Drop for Departure<'_> {
+    fn drop(&mut self) {
+        if self.has_answer {
+            return;
+        }
+        self.relay.shared.metrics.cancelled.add(1);
+        let ms = self.started.elapsed().as_millis() as u64;
+        tracing::info!(event = "cancelled", id = %self.id, events = 0, ms);
+    }
+}
+
+/// Answers a caller.
+pub(super) async fn serve(
+    relay: &Arc<Relay>,
+    incoming: hyper::Request<Incoming>,
+) -> Response<Body> {
+    let started = Instant::now();
+    relay.shared.metrics.requests.add(1);
+    let request = match relay.dialect.read_request(incoming.headers()) {
+        Ok(request) => request,
+        Err(error) => {
+            tracing::info!(event = "refused", reason = "bad_header", %error);
+            return reply::answer(Reason::BadHeader, &*relay.dialect, "");
+        }
+    };
+    let id = request.id.clone();
+    let mut departure = Departure {
+        relay,
+        id: &id,
+        started,
+        has_answer: false,
+    };
+    let result = match admit(relay, incoming, request, started).await {
+        Ok(exchange) => run(exchange).await,
+        Err(reason) => Err(reason),
+    };
+    departure.has_answer = true;
+    result.unwrap_or_else(|reason| refuse(relay, &id, reason, started))
+}
+
+fn refuse(relay: &Relay, id: &str, reason: Reason, started: Instant) -> Response<Body> {
+    let elapsed = started.elapsed();
+    let metrics = &relay.shared.metrics;
+    match reason.verdict() {
+        Verdict::MayHaveRun => metrics.uncertain.add(1),
+        Verdict::NotRun => metrics.refused.add(1),
+    }
+    metrics.refusal.note(elapsed);
+    let config = relay.shared.config.load();
+    tracing::info!(
+        event = "refused",
+        %id,
+        reason = reason.word(),
+        status = reason.status().as_u16(),
+        config = config.as_ref().map_or(0, |config| config.version),
+        ms = elapsed.as_millis() as u64
+    );
+    reply::answer(reason, &*relay.dialect, id)
+}
+
+/// Lets a request in by the configuration in force, and reads its body.
+async fn admit(
+    relay: &Arc<Relay>,
+    incoming: hyper::Request<Incoming>,
+    request: dialect::Request,
+    started: Instant,
+) -> Result<Exchange, Reason> {
+    let active = Active::new(&relay.shared);
+    let config = relay.shared.config.load_full().ok_or(Reason::NoConfig)?;
+    let (parts, incoming) = incoming.into_parts();
+    let terms = admission::admit(
+        &config,
+        &admission::Request {
+            host: host(&parts),
+            path: parts.uri.path(),
+            key: request.key.as_deref(),
+            time_limit: request.time_limit,
+        },
+    )?;
+    let deadline = started + Duration::from_millis(terms.time_limit.0);
+    if relay.shared.is_too_late(deadline) {
+        return Err(Reason::Stopping);
+    }
+    let body = read_body(incoming, config.limits.body_bytes, deadline).await?;
+    let path = parts.uri.path_and_query().cloned();
+    let mut headers = parts.headers;
+    headers::strip_request(&mut headers);
+    Ok(Exchange {
+        relay: Arc::clone(relay),
+        event_tokens: terms.event_tokens,
+        customer: terms.customer.map(|customer| customer.name.clone()),
+        rank: terms.rank,
+        route: terms.route.clone(),
+        config: Arc::clone(&config),
+        request,
+        started,
+        deadline,
+        method: parts.method,
+        path: path.unwrap_or_else(|| PathAndQuery::from_static("/")),
+        headers,
+        body,
+        sent: 0,
+        unreached: 0,
+        verdict: Verdict::NotRun,
+        _active: active,
+    })
+}
+
+/// The host that a request names: in its target, or else in its header.
+fn host(parts: &http::request::Parts) -> &str {
+    if let Some(authority) = parts.uri.authority() {
+        return authority.as_str();
+    }
+    let header = parts.headers.get(header::HOST);
+    header.and_then(|host| host.to_str().ok()).unwrap_or("")
+}
+
+async fn read_body(incoming: Incoming, max: usize, deadline: Instant) -> Result<Bytes, Reason> {
+    let collected = timeout_at(deadline, Limited::new(incoming, max).collect()).await;
+    match collected {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Reason::TooLong),
+        Ok(Err(_)) => Err(Reason::BadBody),
+        Err(_) => Err(Reason::Late),
+    }
+}
+
+/// Tries targets until one has answered or the rules end the attempts.
+async fn run(mut exchange: Exchange) -> Result<Response<Body>, Reason> {
+    let mut attempt = exchange.begin().await?;
+    // A target's own failure, which is passed on if no other target does better.
+    let mut fallback: Option<Buffered> = None;
+    loop {
+        let failed = match exchange.attempt(attempt).await {
+            Ok(answer) if is_stream(&exchange, &answer) => {
+                match Stream::start(exchange, answer).await {
+                    Ok(response) => return Ok(response),
+                    Err((returned, failed)) => {
+                        exchange = *returned;
+                        failed
+                    }
+                }
+            }
+            Ok(answer) => match exchange.collect(answer).await {
+                Ok(complete) if !complete.answer.is_server_error() => {
+                    complete.attempt.end(Some(complete.outcome));
+                    return Ok(exchange.pass(complete.answer));
+                }
+                Ok(complete) => match exchange.retry_server_error(complete.attempt).await {
+                    Some(next) => {
+                        fallback = Some(complete.answer);
+                        attempt = next;
+                        continue;
+                    }
+                    None => return Ok(exchange.pass(complete.answer)),
+                },
+                Err(failed) => failed,
+            },
+            Err(failed) => failed,
+        };
+        if let Some(answer) = fallback {
+            failed.end();
+            return Ok(exchange.pass(answer));
+        }
+        attempt = exchange.retry(failed).await?;
+    }
+}
+
+fn is_stream(exchange: &Exchange, answer: &Answer) -> bool {
+    exchange.route.kind.is_stream() && answer.parts.status.is_success()
+}
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -1,4 +1,7 @@
-//! What the control thread tells the traffic: replaced whole, read without waiting.
+//! What the control thread and the traffic thread both see.
+//!
+//! The control thread replaces each value as a whole and the traffic reads it without waiting; the
+//! traffic counts the requests under way, and the process marks its stop.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -11,51 +14,44 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+use super::decision::admission::{self, Stop};
 use super::metrics::Metrics;
-use crate::gateway::route::Config;
+use super::route::Config;
 use crate::store::{CallError, Topic};
 
-/// The state that both sides see.
+/// Calls that are turned away for their number count as lost contact after this long without a call
+/// that succeeded. Not measured: one interval of heartbeats.
+const LIMITED_MAX: Duration = Duration::from_millis(1_200);
+
+/// The shared state.
 #[derive(Debug, Default)]
 pub struct Shared {
     /// The configuration in force.
     pub config: ArcSwapOption<Config>,
-    /// The same, as it was read.
+    /// The same as it was read, to be passed on to other routers.
     pub config_bytes: ArcSwapOption<Bytes>,
     /// Where callers may connect.
-    pub fronts: ArcSwap<Vec<SocketAddr>>,
+    pub caller_addresses: ArcSwap<Vec<SocketAddr>>,
     /// Where targets listen.
-    pub targets: ArcSwap<HashSet<SocketAddr>>,
-    /// Counters.
+    pub target_addresses: ArcSwap<HashSet<SocketAddr>>,
+    /// Counters and histograms.
     pub metrics: Metrics,
-    /// Wakes whoever tells the other routers of this one.
-    pub members_changed: Notify,
+    /// Wakes the task that writes this router's own entry.
+    pub entry_changed: Notify,
     active: AtomicUsize,
-    synced: AtomicBool,
-    stop: OnceLock<Stop>,
-    closed: AtomicBool,
-    store_lost: AtomicBool,
+    has_targets: AtomicBool,
+    stop: OnceLock<Stop<Instant>>,
+    gives_back: AtomicBool,
+    is_store_lost: AtomicBool,
     store_answered: ArcSwapOption<Instant>,
 }
 
-/// Calls that are turned away for their number count as lost contact after this long.
-const LIMITED_MAX: Duration = Duration::from_millis(1_200);
-
-/// When a stop that has begun goes on.
-#[derive(Clone, Copy, Debug)]
-pub struct Stop {
-    /// From then on only requests are taken that end before `end`.
-    pub late: Instant,
-    /// What runs then is cut.
-    pub end: Instant,
-}
-
-/// A request that is under way.
+/// A request under way; counted until dropped.
 #[derive(Debug)]
 pub struct Active(Arc<Shared>);
 
 impl Active {
-    /// Counts a request, until dropped.
+    /// Counts a request.
     pub fn new(shared: &Arc<Shared>) -> Self {
         shared.active.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(shared))
@@ -78,39 +74,39 @@
     pub fn set_config(&self, config: Config, bytes: Bytes) {
         self.config.store(Some(Arc::new(config)));
         self.config_bytes.store(Some(Arc::new(bytes)));
-        self.members_changed.notify_one();
+        self.entry_changed.notify_one();
     }
 
     /// Replaces the addresses for callers.
-    pub fn set_fronts(&self, fronts: Vec<SocketAddr>) {
-        if **self.fronts.load() != fronts {
-            tracing::info!(event = "fronts", addresses = ?fronts);
-            self.fronts.store(Arc::new(fronts));
+    pub fn set_caller_addresses(&self, addresses: Vec<SocketAddr>) {
+        if **self.caller_addresses.load() != addresses {
+            tracing::info!(event = "caller_addresses", ?addresses);
+            self.caller_addresses.store(Arc::new(addresses));
         }
     }
 
     /// Replaces the addresses of targets.
-    pub fn set_targets(&self, targets: HashSet<SocketAddr>) {
-        if **self.targets.load() != targets {
-            self.targets.store(Arc::new(targets));
+    pub fn set_target_addresses(&self, addresses: HashSet<SocketAddr>) {
+        if **self.target_addresses.load() != addresses {
+            self.target_addresses.store(Arc::new(addresses));
         }
     }
 
-    /// Notes that the targets have been read once.
-    pub fn set_synced(&self) {
-        if !self.synced.swap(true, Ordering::Relaxed) {
-            self.members_changed.notify_one();
+    /// Notes that the list of targets has been read once.
+    pub fn set_has_targets(&self) {
+        if !self.has_targets.swap(true, Ordering::Relaxed) {
+            self.entry_changed.notify_one();
         }
     }
 
     /// Whether callers may come.
     pub fn is_ready(&self) -> bool {
-        let known = self.config.load().is_some() && self.synced.load(Ordering::Relaxed);
-        known && !self.is_stopping()
+        let knows = self.config.load().is_some() && self.has_targets.load(Ordering::Relaxed);
+        knows && !self.is_stopping()
     }
 
-    /// Notes that the process is stopping.
-    pub fn set_stopping(&self, stop: Stop) {
+    /// Notes that the process is stopping. Only the first stop counts.
+    pub fn set_stopping(&self, stop: Stop<Instant>) {
         let _ = self.stop.set(stop);
     }
 
@@ -122,22 +118,22 @@
     /// Whether a request that may take until `deadline` comes too late for a stop to wait for it.
     pub fn is_too_late(&self, deadline: Instant) -> bool {
         let stop = self.stop.get();
-        stop.is_some_and(|stop| Instant::now() >= stop.late && deadline > stop.end)
+        stop.is_some_and(|stop| admission::is_too_late(stop, Instant::now(), deadline))
     }
 
-    /// Notes that grants are being given back.
-    pub fn set_closed(&self) {
-        self.closed.store(true, Ordering::Relaxed);
+    /// Notes that grants are being given back, so that none is renewed any more.
+    pub fn set_gives_back(&self) {
+        self.gives_back.store(true, Ordering::Relaxed);
     }
 
-    /// Whether grants have been given back.
-    pub fn is_closed(&self) -> bool {
-        self.closed.load(Ordering::Relaxed)
+    /// Whether grants are being given back.
+    pub fn gives_back(&self) -> bool {
+        self.gives_back.load(Ordering::Relaxed)
     }
 
     /// Whether the store answered the last call for grants or targets.
     pub fn store_answers(&self) -> bool {
-        !self.store_lost.load(Ordering::Relaxed)
+        !self.is_store_lost.load(Ordering::Relaxed)
     }
 
     /// Notes that a call to the store has had no answer for a while.
@@ -145,8 +141,8 @@
         self.note_call(topic, &Err(&CallError::Unknown));
     }
 
-    /// Counts a call to the store, and logs where contact is lost or regained. Calls that are turned
-    /// away for their number only tell so once none has succeeded for a while.
+    /// Counts a call to the store, and logs where contact is lost or regained. Only calls for grants
+    /// and targets tell, which each router makes all the time.
     pub fn note_call(&self, topic: Topic, result: &Result<(), &CallError>) {
         self.metrics.store_calls.add(1);
         let is_answer = matches!(
@@ -163,13 +159,13 @@
         if is_answer {
             self.store_answered.store(Some(Arc::new(now)));
         }
-        let since = self.store_answered.load();
-        let is_recent = since.as_ref().is_some_and(|at| now - **at < LIMITED_MAX);
+        let last = self.store_answered.load();
+        let is_recent = last.as_ref().is_some_and(|at| now - **at < LIMITED_MAX);
         let is_passing = matches!(result, Err(CallError::Limited)) && is_recent;
-        let lost = !is_answer && !is_passing;
-        if self.store_lost.swap(lost, Ordering::Relaxed) != lost {
+        let is_lost = !is_answer && !is_passing;
+        if self.is_store_lost.swap(is_lost, Ordering::Relaxed) != is_lost {
             match result {
-                Err(error) if lost => tracing::warn!(event = "store_lost", %error),
+                Err(error) if is_lost => tracing::warn!(event = "store_lost", %error),
                 _ => tracing::info!(event = "store_regained"),
             }
         }
--- a/src/gateway/sse.rs
+++ b/src/gateway/sse.rs
@@ -1,12 +1,12 @@
-//! Server-sent events as they pass: whole ones are handed on, and counted.
+//! Server-sent events as they pass: cut after complete ones, and counted.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// Bytes of an event that has not ended; more than this is no event.
+/// Longest event that has not ended, in bytes; more than this is no event.
 const EVENT_MAX: usize = 1 << 20;
 
-/// Cuts a stream after its last whole event.
+/// Cuts a stream after its last complete event.
 #[derive(Debug, Default)]
 pub struct Events {
     rest: BytesMut,
@@ -15,7 +15,7 @@
 }
 
 impl Events {
-    /// Takes bytes in; what forms whole events comes back.
+    /// Takes bytes in; returns the complete events that they end.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.rest.extend_from_slice(bytes);
         let mut end = 0;
@@ -39,7 +39,7 @@
         self.count
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
@@ -69,6 +69,7 @@
     let line = event
         .split(|byte| *byte == b'\n')
         .find_map(|line| line.strip_prefix(b"id:"))?;
+    // An id that is no text cannot be told to another target; the stream then starts over there.
     std::str::from_utf8(line)
         .ok()
         .map(|id| id.trim().to_owned())
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -1,6 +1,8 @@
-//! The control state of a gateway: it decides whether a request may run, and on which target.
+//! The control state of a gateway: the requests under way, the targets, the other routers and the
+//! accounts of prepaid budgets.
 //!
-//! Pure code: it is told the time, and does nothing but change its own state and answer.
+//! Pure code: it is told the time, changes only itself, and answers. It relies on the rules in
+//! [`decision`](super::decision) and never waits or sends anything.
 
 mod money;
 
@@ -9,12 +11,14 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-use super::decision::retry::{self, Budget};
-use super::dialect::{Load, Prompt};
-use super::escrow::{Account, Ledger, Sizing};
+use super::decision::grant::Sizing;
+use super::decision::refusal::Refusal;
+use super::decision::retry::{Bound, Budget, Charge};
+use super::dialect::Load;
+use super::escrow::{Account, Ledger};
+use super::job::{Delivery, Ending, Job, JobKey, Placement};
 use super::members::{Members, Router};
 use super::target::{Key, Targets};
-use crate::ejection::Outcome;
 use crate::units::{Millis, Tokens};
 
 /// Settings of the control state.
@@ -24,124 +28,32 @@
     pub me: Router,
     /// Interval of heartbeats.
     pub heartbeat: Millis,
-    /// Bound on repeats.
-    pub repeats: retry::Bound,
-    /// How grants are sized; the number of routers is filled in from those that are known.
+    /// The fleet's bound on retries.
+    pub retries: Bound,
+    /// How grants are sized.
     pub sizing: Sizing,
     /// Seed of random choices.
     pub seed: u64,
 }
 
-/// What a request needs.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Job {
-    /// Its id, for logs.
-    pub id: String,
-    /// The services that may run it, with their weights.
-    pub services: Vec<(String, f64)>,
-    /// Set for a model request.
-    pub prompt: Option<Prompt>,
-    /// Who pays, and all that it has prepaid.
-    pub payer: Option<(String, Tokens)>,
-}
-
-impl Job {
-    /// The most that it may cost.
-    pub fn cost(&self) -> Tokens {
-        self.prompt
-            .as_ref()
-            .map_or(Tokens::ZERO, |prompt| prompt.tokens + prompt.most)
-    }
-}
-
-/// A request that is under way.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Ticket(pub u64);
-
-/// Where a request goes.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Go {
-    /// The request.
-    pub ticket: Ticket,
-    /// The target.
-    pub target: Key,
-    /// The instance that is meant.
-    pub instance: String,
-    /// Its address.
-    pub address: std::net::SocketAddr,
-}
-
-/// Why a request does not go anywhere.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refusal {
-    /// No target takes work.
-    NoTarget,
-    /// The budget of repeats is used up.
-    NoRepeats,
-    /// What is left of the prepaid budget does not hold it.
-    Exhausted,
-    /// This router's part of the budget does not hold it, and no more came in time.
-    Short,
-    /// The same, while the store does not answer.
-    CutOff,
-}
-
-/// What a customer was handed of an answer. A customer gets nothing but by its router, so what no
-/// router has handed out is not spent, whether or not a target has run it.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Handed {
-    /// Nothing of the answer.
-    #[default]
-    Nothing,
-    /// So many tokens; the prompt's are spent too.
-    Out(Tokens),
-    /// Some of the answer; the most is counted.
-    Most,
-}
-
-impl Handed {
-    /// The word in logs.
-    fn word(self) -> &'static str {
-        match self {
-            Self::Nothing => "nothing_handed_out",
-            Self::Out(_) => "counted",
-            Self::Most => "most",
-        }
-    }
-
-    /// What is known after a later try has ended too.
-    fn then(self, later: Self) -> Self {
-        match later {
-            Self::Nothing => self,
-            Self::Out(_) | Self::Most => later,
-        }
-    }
-}
-
-/// The end of a try.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ending {
-    /// How the target is judged by it; `None` where it tells nothing of the target.
-    pub outcome: Option<Outcome>,
-    /// What of the answer the customer was handed, over all tries.
-    pub handed: Handed,
-}
-
 #[derive(Debug)]
 struct Running {
     job: Job,
+    /// The service that was drawn for it.
     service: String,
     tried: Vec<Key>,
+    /// The target of its current attempt.
     target: Option<Key>,
-    unread: u64,
-    /// Set aside until the request has ended, however often it is tried.
+    /// Prompt tokens of that attempt, until the target has begun to answer.
+    backlog: u64,
+    /// Reserved until the request has ended, however often it is tried.
     reserved: Tokens,
-    handed: Handed,
+    delivery: Delivery,
 }
 
 /// The control state.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct State {
     settings: Settings,
     /// The targets.
     pub targets: Targets,
@@ -150,13 +62,13 @@
     accounts: HashMap<String, Account>,
     ledgers: HashMap<String, Ledger>,
     prepaid: HashMap<String, Tokens>,
-    budgets: HashMap<String, Budget>,
-    running: HashMap<Ticket, Running>,
-    next: u64,
+    retry_budgets: HashMap<String, Budget>,
+    running: HashMap<JobKey, Running>,
+    next_job: u64,
     random: StdRng,
 }
 
-impl Fleet {
+impl State {
     /// The state of a router that knows nothing yet.
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -167,53 +79,56 @@
             accounts: HashMap::new(),
             ledgers: HashMap::new(),
             prepaid: HashMap::new(),
-            budgets: HashMap::new(),
+            retry_budgets: HashMap::new(),
             running: HashMap::new(),
-            next: 1,
+            next_job: 1,
         }
     }
 
-    /// Decides on a request that has arrived.
+    /// Starts a request: chooses a target and reserves what it may cost.
     ///
     /// # Errors
-    /// Why it does not go anywhere. [`Refusal::Short`] may change with the next grant.
-    pub fn begin(&mut self, now: Millis, job: Job) -> Result<Go, Refusal> {
+    /// Why it does not run. [`Refusal::Short`] may change with the next grant.
+    pub fn begin(&mut self, now: Millis, job: Job) -> Result<Placement, Refusal> {
         let service = self.draw_service(&job);
         let mut running = Running {
             service,
             tried: Vec::new(),
             target: None,
-            unread: 0,
+            backlog: 0,
             reserved: Tokens::ZERO,
-            handed: Handed::Nothing,
+            delivery: Delivery::Nothing,
             job,
         };
         let target = self.choose(now, &running).ok_or(Refusal::NoTarget)?;
         running.reserved = self.reserve(now, &running.job)?;
-        let budget = self.budgets.entry(running.service.clone()).or_default();
-        budget.note_request(now, &self.settings.repeats);
-        let ticket = Ticket(self.next);
-        self.next += 1;
-        Ok(self.send(ticket, running, target))
+        let budget = self
+            .retry_budgets
+            .entry(running.service.clone())
+            .or_default();
+        budget.note_request(now, &self.settings.retries);
+        let key = JobKey(self.next_job);
+        self.next_job += 1;
+        Ok(self.place(key, running, target))
     }
 
-    /// Decides where a request goes next whose last try has ended without an answer.
+    /// Starts another attempt of a request whose last one has failed.
     ///
     /// # Errors
-    /// Why it does not go anywhere; it has then ended.
-    pub fn again(
+    /// Why there is none; the request has then ended.
+    pub fn retry(
         &mut self,
         now: Millis,
-        ticket: Ticket,
+        key: JobKey,
         ending: Ending,
-        arrived: Arrival,
-    ) -> Result<Go, Refusal> {
-        let Some(mut running) = self.running.remove(&ticket) else {
+        charge: Charge,
+    ) -> Result<Placement, Refusal> {
+        let Some(mut running) = self.running.remove(&key) else {
             return Err(Refusal::NoTarget);
         };
-        self.finish_try(now, &mut running, ending);
-        match self.next_target(now, &running, arrived) {
-            Ok(target) => Ok(self.send(ticket, running, target)),
+        self.end_attempt(now, &mut running, ending);
+        match self.retry_target(now, &running, charge) {
+            Ok(target) => Ok(self.place(key, running, target)),
             Err(refusal) => {
                 self.settle(&running);
                 Err(refusal)
@@ -221,51 +136,56 @@
         }
     }
 
-    /// Another target for a request that was tried, if it may be tried again.
-    fn next_target(
+    /// The target of a retry, if there is one and the retry budget allows it.
+    fn retry_target(
         &mut self,
         now: Millis,
         running: &Running,
-        arrived: Arrival,
+        charge: Charge,
     ) -> Result<Key, Refusal> {
         let target = self.choose(now, running).ok_or(Refusal::NoTarget)?;
-        if arrived == Arrival::Yes {
-            let routers = self.members.count();
-            let budget = self.budgets.entry(running.service.clone()).or_default();
-            if !budget.take(now, &self.settings.repeats, routers) {
-                return Err(Refusal::NoRepeats);
-            }
+        if charge == Charge::Free {
+            return Ok(target);
+        }
+        let routers = self.members.count();
+        let budget = self
+            .retry_budgets
+            .entry(running.service.clone())
+            .or_default();
+        if budget.take(now, &self.settings.retries, routers) {
+            Ok(target)
+        } else {
+            Err(Refusal::NoRepeats)
         }
-        Ok(target)
     }
 
-    fn send(&mut self, ticket: Ticket, mut running: Running, target: Key) -> Go {
+    fn place(&mut self, key: JobKey, mut running: Running, target: Key) -> Placement {
         let prompt = running.job.prompt.as_ref();
-        running.unread = prompt.map_or(0, |prompt| prompt.tokens.0);
+        running.backlog = prompt.map_or(0, |prompt| prompt.tokens.0);
         running.target = Some(target);
-        self.targets.begin(target, running.unread);
-        self.running.insert(ticket, running);
+        self.targets.begin(target, running.backlog);
+        self.running.insert(key, running);
         let listing = &self.targets.get(target).listing;
-        Go {
-            ticket,
+        Placement {
+            job: key,
             target,
             instance: listing.instance.clone(),
             address: listing.address,
         }
     }
 
-    /// Notes that a target has begun to answer, and what it told of its load.
-    pub fn answered(&mut self, now: Millis, ticket: Ticket, load: Option<Load>) {
-        let Some(running) = self.running.get_mut(&ticket) else {
+    /// Notes that a target has begun to answer, and the load that it reported.
+    pub fn answered(&mut self, now: Millis, key: JobKey, load: Option<Load>) {
+        let Some(running) = self.running.get_mut(&key) else {
             return;
         };
         let Some(target) = running.target else {
             return;
         };
-        let read = std::mem::take(&mut running.unread);
-        self.targets.read(target, read);
+        let backlog = std::mem::take(&mut running.backlog);
+        self.targets.prefilled(target, backlog);
         if let Some(prompt) = &running.job.prompt {
-            self.targets.note_parts(now, target, prompt);
+            self.targets.note_prompt(now, target, prompt);
         }
         if let Some(load) = load {
             self.targets.note_load(now, target, load);
@@ -273,29 +193,31 @@
     }
 
     /// Notes that a request has ended.
-    pub fn end(&mut self, now: Millis, ticket: Ticket, ending: Ending) {
-        if let Some(mut running) = self.running.remove(&ticket) {
-            self.finish_try(now, &mut running, ending);
+    pub fn end(&mut self, now: Millis, key: JobKey, ending: Ending) {
+        if let Some(mut running) = self.running.remove(&key) {
+            self.end_attempt(now, &mut running, ending);
             self.settle(&running);
         }
     }
 
-    fn finish_try(&mut self, now: Millis, running: &mut Running, ending: Ending) {
-        running.handed = running.handed.then(ending.handed);
-        if let Some(target) = running.target.take() {
-            running.tried.push(target);
-            let unread = std::mem::take(&mut running.unread);
-            self.targets.read(target, unread);
-            self.targets.end(target);
-            if let Some(outcome) = ending.outcome
-                && self.targets.note(now, target, outcome)
-            {
-                let instance = &self.targets.get(target).listing.instance;
-                tracing::warn!(event = "target_ejected", %instance);
-            }
+    fn end_attempt(&mut self, now: Millis, running: &mut Running, ending: Ending) {
+        running.delivery = running.delivery.then(ending.delivery);
+        let Some(target) = running.target.take() else {
+            return;
+        };
+        running.tried.push(target);
+        let backlog = std::mem::take(&mut running.backlog);
+        self.targets.prefilled(target, backlog);
+        self.targets.end(target);
+        if let Some(outcome) = ending.outcome
+            && self.targets.note_outcome(now, target, outcome)
+        {
+            let instance = &self.targets.get(target).listing.instance;
+            tracing::warn!(event = "target_ejected", %instance);
         }
     }
 
+    /// Draws one of the services of a request's route by their weights.
     fn draw_service(&mut self, job: &Job) -> String {
         let total: f64 = job.services.iter().map(|(_, weight)| weight).sum();
         let mut at = self.random.random::<f64>() * total;
@@ -305,10 +227,9 @@
                 return service.clone();
             }
         }
-        job.services
-            .last()
-            .map(|(service, _)| service.clone())
-            .unwrap_or_default()
+        // Rounding may leave a little after the last; a route without services has no targets.
+        let last = job.services.last();
+        last.map_or_else(String::new, |(service, _)| service.clone())
     }
 
     fn choose(&mut self, now: Millis, running: &Running) -> Option<Key> {
@@ -330,12 +251,3 @@
         self.settings.me.incarnation
     }
 }
-
-/// Whether a try has reached its target.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Arrival {
-    /// It did, or may have.
-    Yes,
-    /// It did not.
-    No,
-}
--- a/src/gateway/state/money.rs
+++ b/src/gateway/state/money.rs
@@ -1,22 +1,25 @@
-//! The money of a fleet as one router sees it: what it reserves and settles, the rows that it keeps
-//! in the store, and what it lends and borrows.
+//! The money of the control state: what it reserves and settles, the rows that it keeps in the store,
+//! and what it lends and borrows.
 
 use std::collections::HashMap;
 
-use super::{Fleet, Handed, Job, Refusal, Running};
-use crate::gateway::escrow::{Account, Holder, Loan, Role, Row, Short, Sizing};
+use super::{Running, State};
+use crate::gateway::decision::grant::{self, Role};
+use crate::gateway::decision::refusal::Refusal;
+use crate::gateway::escrow::{Account, Holder, Loan, Row, Short};
+use crate::gateway::job::{Delivery, Job};
 use crate::gateway::members::Router;
 use crate::units::{Millis, Tokens};
 
-impl Fleet {
-    /// Settles a request that has ended at what its customer was handed.
+impl State {
+    /// Settles a request that has ended at what was delivered to its customer.
     pub(super) fn settle(&mut self, running: &Running) {
         let reserved = running.reserved;
         let prompt = running.job.prompt.as_ref();
-        let cost = match running.handed {
-            Handed::Nothing => Tokens::ZERO,
-            Handed::Most => reserved,
-            Handed::Out(out) => prompt.map_or(Tokens::ZERO, |prompt| prompt.tokens) + out,
+        let cost = match running.delivery {
+            Delivery::Nothing => Tokens::ZERO,
+            Delivery::Uncounted => reserved,
+            Delivery::Counted(tokens) => prompt.map_or(tokens, |prompt| prompt.tokens + tokens),
         };
         if let Some((customer, _)) = &running.job.payer
             && let Some(account) = self.accounts.get_mut(customer)
@@ -28,21 +31,22 @@
                 %customer,
                 reserved = reserved.0,
                 cost = cost.0,
-                basis = running.handed.word()
+                delivery = running.delivery.word()
             );
         }
     }
 
+    /// Reserves the most that a request may cost.
     pub(super) fn reserve(&mut self, now: Millis, job: &Job) -> Result<Tokens, Refusal> {
         let Some((customer, prepaid)) = &job.payer else {
             return Ok(Tokens::ZERO);
         };
-        let cost = job.cost();
+        let cost = job.max_cost();
         let ledger = self.ledgers.entry(customer.clone()).or_default();
         let account = self.accounts.entry(customer.clone()).or_default();
         let name = &self.settings.me.name;
         match account.reserve(cost, *prepaid, ledger, name) {
-            // What is refused comes again, so only what is granted tells of the demand.
+            // A refused request comes again, so only those that are reserved for count as demand.
             Ok(()) => {
                 account.note_demand(now, cost);
                 Ok(cost)
@@ -52,7 +56,7 @@
         }
     }
 
-    /// Takes in what the configuration says a customer has prepaid.
+    /// Sets what a customer has prepaid in all.
     pub fn set_prepaid(&mut self, customer: &str, prepaid: Tokens) {
         self.prepaid.insert(customer.to_owned(), prepaid);
     }
@@ -62,7 +66,7 @@
         self.prepaid.keys().cloned().collect()
     }
 
-    /// Takes in a row of the store.
+    /// Sets a router's row as the store has it.
     pub fn set_row(&mut self, customer: &str, router: &str, row: Option<Row>) {
         let ledger = self.ledgers.entry(customer.to_owned()).or_default();
         ledger.set(router, row);
@@ -74,8 +78,9 @@
         ledger.set_unreadable(router);
     }
 
-    /// The rows that are worth writing now, of the customers that `includes` names. `waiting` says
-    /// what requests need that wait for a grant. All ledgers must be as of the offset that the rows are written at.
+    /// The rows that are worth writing now, of the customers that `includes` names. `waiting` has the
+    /// tokens that requests wait for. The ledgers must be as of the offset that the rows are written
+    /// at.
     pub fn rows(
         &mut self,
         now: Millis,
@@ -88,17 +93,15 @@
             .filter(|(customer, _)| includes(customer))
             .map(|(customer, prepaid)| (customer.clone(), *prepaid))
             .collect();
-        let holders = self.members.count().min(self.settings.sizing.holders);
+        let mut sizing = self.settings.sizing;
+        sizing.holders = sizing.holders.min(self.members.count());
         let mut rows = Vec::new();
         for (customer, prepaid) in customers {
-            let sizing = Sizing {
-                holders,
-                role: self.role(now, &customer),
-                ..self.settings.sizing
-            };
+            let role = self.role(now, &customer);
             let holder = Holder {
                 router: &self.settings.me.name,
                 incarnation: self.settings.me.incarnation,
+                role,
             };
             let ledger = self.ledgers.entry(customer.clone()).or_default();
             let account = self.accounts.entry(customer.clone()).or_default();
@@ -112,7 +115,7 @@
         rows
     }
 
-    /// The rows that give back all that is not used.
+    /// The rows of a process that stops: they give back all that is not used.
     pub fn last_rows(&self) -> Vec<(String, Row)> {
         let incarnation = self.settings.me.incarnation;
         let accounts = self.accounts.iter();
@@ -122,7 +125,7 @@
             .collect()
     }
 
-    /// Notes what became of rows: they are being sent.
+    /// Notes that these rows are on their way to the store.
     pub fn rows_sent(&mut self, rows: &[(String, Row)]) {
         self.each_account(rows, |account, row| account.send(row));
     }
@@ -149,9 +152,9 @@
         }
     }
 
-    /// What this router can still reserve for a customer, and what all routers together have spent
-    /// as far as that is known.
-    pub fn standing(&self, customer: &str) -> (Tokens, Tokens) {
+    /// Tokens that this router can still reserve for a customer, and tokens that all routers together
+    /// have spent as far as that is known.
+    pub fn balance(&self, customer: &str) -> (Tokens, Tokens) {
         let (Some(account), Some(ledger)) =
             (self.accounts.get(customer), self.ledgers.get(customer))
         else {
@@ -161,8 +164,7 @@
         (account.available(), spent)
     }
 
-    /// This router's part in keeping a customer's budget. One that is asked for much of what all
-    /// are asked for holds grants of its own beside those that everybody knows.
+    /// This router's part in keeping a customer's budget.
     pub fn role(&mut self, now: Millis, customer: &str) -> Role {
         let me = self.settings.me.name.as_str();
         let holders = self.holders(now, customer);
@@ -171,12 +173,8 @@
         }
         let ledger = self.ledgers.get(customer);
         let others = ledger.map_or(0, |ledger| ledger.demand_of_others(me));
-        let own = self.demand(now, customer).0;
-        if own > 0 && own * self.settings.sizing.holders as u64 >= others + own {
-            Role::Holder
-        } else {
-            Role::Borrower
-        }
+        let demand = self.demand(now, customer);
+        grant::role_by_demand(demand, others, self.settings.sizing.holders)
     }
 
     /// The routers that hold a customer's grants.
@@ -185,51 +183,59 @@
         self.members.holders(now, customer, count)
     }
 
-    /// Lends tokens to another router; see [`Account::lend`].
+    /// Lends tokens to another router; how many is returned.
     pub fn lend(&mut self, now: Millis, customer: &str, loan: Loan) -> Tokens {
         let account = self.accounts.get_mut(customer);
         account.map_or(Tokens::ZERO, |account| account.lend(now, loan))
     }
 
-    /// Takes off what was borrowed and is not needed, of each customer that others hold.
+    /// Takes out what was borrowed and is more than the demand of a second, of each customer whose
+    /// grants others hold; it is to be given to them.
     pub fn take_excess(&mut self, now: Millis) -> Vec<(String, Tokens)> {
         let customers: Vec<String> = self.accounts.keys().cloned().collect();
-        let mut excess = Vec::new();
-        for customer in customers {
-            if self.role(now, &customer) == Role::Holder {
-                continue;
-            }
-            let account = self.accounts.entry(customer.clone()).or_default();
-            let keep = account.demand(now);
-            excess.push((customer, account.take_excess(keep)));
-        }
-        excess.retain(|(_, tokens)| *tokens > Tokens::ZERO);
-        excess
+        let borrowed = customers
+            .into_iter()
+            .filter(|customer| self.role(now, customer) == Role::Borrower);
+        let borrowed: Vec<String> = borrowed.collect();
+        self.take_borrowed(borrowed, |account| account.demand(now))
     }
 
-    /// Takes off all that was borrowed and not used.
+    /// Takes out all that was borrowed and not used.
     pub fn take_unused(&mut self) -> Vec<(String, Tokens)> {
-        let accounts = self.accounts.iter_mut();
-        let mut unused: Vec<(String, Tokens)> = accounts
-            .map(|(customer, account)| (customer.clone(), account.take_excess(Tokens::ZERO)))
-            .collect();
-        unused.retain(|(_, tokens)| *tokens > Tokens::ZERO);
-        unused
+        let customers = self.accounts.keys().cloned().collect();
+        self.take_borrowed(customers, |_| Tokens::ZERO)
+    }
+
+    fn take_borrowed(
+        &mut self,
+        customers: Vec<String>,
+        keep: impl Fn(&mut Account) -> Tokens,
+    ) -> Vec<(String, Tokens)> {
+        let mut taken = Vec::new();
+        for customer in customers {
+            let account = self.accounts.entry(customer.clone()).or_default();
+            let keep = keep(account);
+            let tokens = account.take_excess(keep);
+            if tokens > Tokens::ZERO {
+                taken.push((customer, tokens));
+            }
+        }
+        taken
     }
 
-    /// Adds what another router has lent or given.
-    pub fn borrow(&mut self, customer: &str, lent: Tokens) {
+    /// Adds what another router has lent or given back.
+    pub fn borrow(&mut self, customer: &str, tokens: Tokens) {
         let account = self.accounts.entry(customer.to_owned()).or_default();
-        account.borrow(lent);
+        account.borrow(tokens);
     }
 
-    /// What this router lacks to pay for requests of this cost.
+    /// Tokens that this router lacks to pay for requests of this cost.
     pub fn lacking(&self, customer: &str, cost: Tokens) -> Tokens {
         let account = self.accounts.get(customer);
         cost.saturating_sub(account.map_or(Tokens::ZERO, Account::available))
     }
 
-    /// What is asked for in a second, of a customer.
+    /// Tokens a second that are asked of this router for a customer.
     pub fn demand(&mut self, now: Millis, customer: &str) -> Tokens {
         let account = self.accounts.get_mut(customer);
         account.map_or(Tokens::ZERO, |account| account.demand(now))
