--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use lanedeck::router::intent::{Kind, Target};
-use lanedeck::router::target::{Pool, Want};
+use lanedeck::router::pool::{Pool, Want};
 use lanedeck::units::{Millis, Offset, Tokens};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/src/cmd/load/caller.rs
+++ b/src/cmd/load/caller.rs
@@ -14,8 +14,8 @@
 
 use crate::cmd::Result;
 use crate::cmd::client::Client;
-use crate::router::http::caller::Entry;
 use crate::router::http::chat::{self, Frame};
+use crate::router::http::entry::Entry;
 use crate::router::http::{BILLED, REASON, REPEATABLE, REQUEST_ID, VERDICT};
 use crate::standin::engine::word;
 use crate::standin::service::{Receipt, receipt};
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -14,7 +14,7 @@
 use crate::router::client::{HttpHosts, HttpLog};
 use crate::router::control::Settings;
 use crate::router::host::Peer;
-use crate::router::log::Incarnation;
+use crate::router::key::Incarnation;
 use crate::router::request::Bound;
 use crate::units::{Millis, Offset};
 
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -7,7 +7,8 @@
 use super::decision::refusal::Refusal;
 use super::decision::retry::Charge;
 use super::dialect::Load;
-use super::job::{Delivery, Ending, Job, JobKey, Placement};
+use super::job::{Delivery, Ending, Job, Placement};
+use super::key::JobKey;
 use crate::ejection::Outcome;
 use crate::units::Tokens;
 
--- a/src/gateway/control/apply.rs
+++ b/src/gateway/control/apply.rs
@@ -8,7 +8,7 @@
 use super::context::Control;
 use super::grants;
 use crate::gateway::members::{Router, Source};
-use crate::gateway::target::{Change, View};
+use crate::gateway::targets::{Change, View};
 use crate::store::{KEY_MAX, Page, Record};
 use crate::util;
 
--- a/src/gateway/control/context.rs
+++ b/src/gateway/control/context.rs
@@ -14,7 +14,7 @@
 use crate::gateway::dialect::Dialect;
 use crate::gateway::shared::Shared;
 use crate::gateway::state::State;
-use crate::gateway::target::Outstanding;
+use crate::gateway::targets::Outstanding;
 use crate::store::Store;
 use crate::units::Millis;
 use crate::wire;
--- a/src/gateway/decision/grant.rs
+++ b/src/gateway/decision/grant.rs
@@ -5,7 +5,6 @@
 //! would refuse requests that are paid for, so nothing is granted ahead any more and each request
 //! waits for a grant of its own.
 
-use crate::gateway::escrow::row::Row;
 use crate::units::{Millis, Tokens};
 
 /// Changes of less than one part in this many of the prepaid budget are not written on their own:
@@ -90,8 +89,19 @@
     span.0 as f64 / 1_000.0
 }
 
+/// What a row in the store says of its router.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Holding {
+    /// Tokens that the router may spend, in all.
+    pub granted: Tokens,
+    /// Tokens that it has spent of them.
+    pub spent: Tokens,
+    /// Tokens that its earlier processes have spent, or may have.
+    pub spent_before: Tokens,
+}
+
 /// Whether a row differs enough from the one that was last written to be worth a call to the store.
-pub fn is_worth_writing(written: Option<&Row>, row: &Row, prepaid: Tokens) -> bool {
+pub fn is_worth_writing(written: Option<Holding>, row: Holding, prepaid: Tokens) -> bool {
     let Some(written) = written else {
         return row.granted > Tokens::ZERO;
     };
--- a/src/gateway/decision/placement.rs
+++ b/src/gateway/decision/placement.rs
@@ -8,7 +8,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::gateway::target::Key;
+use crate::gateway::key::TargetKey;
 
 /// Cost of another hall to a plain request, in requests that run at the target. Not measured: it makes
 /// traffic between halls, which has a price, the exception.
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// The target.
-    pub key: Key,
+    pub key: TargetKey,
     /// Requests that it runs at once.
     pub slots: u32,
     /// Requests that it has, by its own report or by the routers' count, whichever is higher.
@@ -83,8 +83,8 @@
 }
 
 /// Chooses for a plain request; `seed` draws among equal costs.
-pub fn choose_plain(candidates: &[Candidate], seed: u64) -> Option<Key> {
-    let tie = |key: Key| xxh3_64_with_seed(&key.0.to_le_bytes(), seed);
+pub fn choose_plain(candidates: &[Candidate], seed: u64) -> Option<TargetKey> {
+    let tie = |key: TargetKey| xxh3_64_with_seed(&key.0.to_le_bytes(), seed);
     least(candidates, |target| (plain_cost(target), tie(target.key))).map(|target| target.key)
 }
 
@@ -97,7 +97,7 @@
 }
 
 /// Chooses for a model request.
-pub fn choose_model(candidates: &[ModelCandidate]) -> Option<Key> {
+pub fn choose_model(candidates: &[ModelCandidate]) -> Option<TargetKey> {
     // Other prompts with the same blocks went there too, so nothing is taken to be uncached.
     let preferred = candidates.iter().max_by_key(|one| one.affinity);
     let preferred = preferred.map(|one| one.target.key);
--- a/src/gateway/escrow/account.rs
+++ b/src/gateway/escrow/account.rs
@@ -4,7 +4,7 @@
 //! borrowed.
 
 use super::row::{Ledger, Loan, Row};
-use crate::gateway::decision::grant::{self, Need, Role, Sizing};
+use crate::gateway::decision::grant::{self, Holding, Need, Role, Sizing};
 use crate::units::{Millis, Tokens};
 
 /// Time constant of the estimate of demand, in milliseconds. Not measured.
@@ -205,7 +205,7 @@
 
     /// Whether a row differs enough from what was last written to be worth a call.
     pub fn is_worth_writing(&self, row: &Row, prepaid: Tokens) -> bool {
-        grant::is_worth_writing(self.written.as_ref(), row, prepaid)
+        grant::is_worth_writing(self.written.as_ref().map(holding), holding(row), prepaid)
     }
 
     /// Whether a row grants more than there is.
@@ -263,3 +263,11 @@
         }
     }
 }
+
+fn holding(row: &Row) -> Holding {
+    Holding {
+        granted: row.granted,
+        spent: row.spent,
+        spent_before: row.spent_before,
+    }
+}
--- a/src/gateway/escrow/mod.rs
+++ b/src/gateway/escrow/mod.rs
@@ -7,7 +7,7 @@
 //! much of it was. How large a grant should be is [`grant`](super::decision::grant)'s decision; this module keeps the sums.
 
 mod account;
-pub mod row;
+mod row;
 
 pub use account::{Account, Holder, Short};
 pub use row::{Ledger, Loan, Row};
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::dialect::Prompt;
-use super::target::Key;
+use super::key::{JobKey, TargetKey};
 use crate::ejection::Outcome;
 use crate::units::Tokens;
 
@@ -27,17 +27,13 @@
     }
 }
 
-/// A request under way, in the control state of this process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct JobKey(pub u64);
-
 /// Where an attempt goes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Placement {
     /// The request.
     pub job: JobKey,
     /// The target.
-    pub target: Key,
+    pub target: TargetKey,
     /// The target's instance; another one at the address has to refuse.
     pub instance: String,
     /// The target's address.
--- a/src/gateway/message.rs
+++ b/src/gateway/message.rs
@@ -5,7 +5,7 @@
 
 use super::escrow::Loan;
 use super::members::Router;
-use super::target::{Outstanding, View};
+use super::targets::{Outstanding, View};
 use crate::units::Tokens;
 
 /// A router's heartbeat.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -15,6 +15,7 @@
 mod exchange;
 mod headers;
 pub mod job;
+pub mod key;
 pub mod listener;
 pub mod members;
 pub mod message;
@@ -28,6 +29,6 @@
 pub mod sse;
 pub mod state;
 mod stream;
-pub mod target;
+pub mod targets;
 
 pub use process::{Options, run};
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -16,9 +16,10 @@
 use super::decision::retry::{Bound, Budget, Charge};
 use super::dialect::Load;
 use super::escrow::{Account, Ledger};
-use super::job::{Delivery, Ending, Job, JobKey, Placement};
+use super::job::{Delivery, Ending, Job, Placement};
+use super::key::{JobKey, TargetKey};
 use super::members::{Members, Router};
-use super::target::{Key, Targets};
+use super::targets::Targets;
 use crate::units::{Millis, Tokens};
 
 /// Settings of the control state.
@@ -41,9 +42,9 @@
     job: Job,
     /// The service that was drawn for it.
     service: String,
-    tried: Vec<Key>,
+    tried: Vec<TargetKey>,
     /// The target of its current attempt.
-    target: Option<Key>,
+    target: Option<TargetKey>,
     /// Prompt tokens of that attempt, until the target has begun to answer.
     backlog: u64,
     /// Reserved until the request has ended, however often it is tried.
@@ -142,7 +143,7 @@
         now: Millis,
         running: &Running,
         charge: Charge,
-    ) -> Result<Key, Refusal> {
+    ) -> Result<TargetKey, Refusal> {
         let target = self.choose(now, running).ok_or(Refusal::NoTarget)?;
         if charge == Charge::Free {
             return Ok(target);
@@ -159,7 +160,7 @@
         }
     }
 
-    fn place(&mut self, key: JobKey, mut running: Running, target: Key) -> Placement {
+    fn place(&mut self, key: JobKey, mut running: Running, target: TargetKey) -> Placement {
         let prompt = running.job.prompt.as_ref();
         running.backlog = prompt.map_or(0, |prompt| prompt.tokens.0);
         running.target = Some(target);
@@ -232,7 +233,7 @@
         last.map_or_else(String::new, |(service, _)| service.clone())
     }
 
-    fn choose(&mut self, now: Millis, running: &Running) -> Option<Key> {
+    fn choose(&mut self, now: Millis, running: &Running) -> Option<TargetKey> {
         let hall = &self.settings.me.hall;
         let candidates = self
             .targets
--- a/src/gateway/target/cache.rs
+++ b/src/gateway/targets/cache.rs
@@ -3,8 +3,8 @@
 
 use std::collections::HashMap;
 
-use super::key::Key;
 use crate::gateway::dialect::{Block, Prompt};
+use crate::gateway::key::TargetKey;
 use crate::units::Millis;
 
 /// How long a target is taken to keep a block after its last use. Not measured.
@@ -15,12 +15,12 @@
 /// Blocks that were sent to targets.
 #[derive(Debug, Default)]
 pub struct Cache {
-    last_use: HashMap<(Key, u64), Millis>,
+    last_use: HashMap<(TargetKey, u64), Millis>,
 }
 
 impl Cache {
     /// Notes that a target has processed a prompt.
-    pub fn note(&mut self, now: Millis, key: Key, prompt: &Prompt) {
+    pub fn note(&mut self, now: Millis, key: TargetKey, prompt: &Prompt) {
         for block in prompt.shared_blocks() {
             self.last_use.insert((key, block.id), now);
         }
@@ -31,7 +31,7 @@
 
     /// Tokens of shared blocks that a target would have to prefill. A block is only of use where all
     /// before it are cached.
-    pub fn uncached(&self, now: Millis, key: Key, shared: &[Block]) -> u64 {
+    pub fn uncached(&self, now: Millis, key: TargetKey, shared: &[Block]) -> u64 {
         let is_cached = |block: &&Block| {
             let last_use = self.last_use.get(&(key, block.id));
             last_use.is_some_and(|at| now.saturating_sub(*at) < KEPT)
--- a/src/gateway/target/mod.rs
+++ b/src/gateway/targets/mod.rs
@@ -3,10 +3,8 @@
 
 mod attempts;
 mod cache;
-pub mod key;
-pub mod outstanding;
+mod outstanding;
 mod registry;
 
-pub use key::Key;
 pub use outstanding::{Outstanding, View};
 pub use registry::{Change, Target, Targets};
--- a/src/gateway/target/registry.rs
+++ b/src/gateway/targets/registry.rs
@@ -11,11 +11,11 @@
 
 use super::attempts::Attempts;
 use super::cache::Cache;
-use super::key::Key;
 use super::outstanding::{Outstanding, View};
 use crate::ejection::{self, Health, Outcome};
 use crate::gateway::decision::placement::{self, Candidate, ModelCandidate};
 use crate::gateway::dialect::{Listing, Load, Prompt};
+use crate::gateway::key::TargetKey;
 use crate::units::Millis;
 
 /// How long a load that a target reported is believed. Not measured.
@@ -45,9 +45,9 @@
 #[derive(Debug, Default)]
 pub struct Targets {
     all: Vec<Target>,
-    by_instance: HashMap<String, Key>,
-    by_hash: HashMap<u64, Key>,
-    by_service: HashMap<String, Vec<Key>>,
+    by_instance: HashMap<String, TargetKey>,
+    by_hash: HashMap<u64, TargetKey>,
+    by_service: HashMap<String, Vec<TargetKey>>,
     cache: Cache,
     removed: HashMap<String, Millis>,
 }
@@ -94,7 +94,7 @@
     }
 
     fn add(&mut self, listing: Listing) -> Change {
-        let key = Key(self.all.len());
+        let key = TargetKey(self.all.len());
         self.by_instance.insert(listing.instance.clone(), key);
         self.by_hash.insert(hash(&listing.instance), key);
         let group = self.by_service.entry(listing.service.clone()).or_default();
@@ -142,42 +142,42 @@
     }
 
     /// A target.
-    pub fn get(&self, key: Key) -> &Target {
+    pub fn get(&self, key: TargetKey) -> &Target {
         &self.all[key.0]
     }
 
     /// Counts a request that is sent there, with so many tokens of prompt.
-    pub fn begin(&mut self, key: Key, prompt_tokens: u64) {
+    pub fn begin(&mut self, key: TargetKey, prompt_tokens: u64) {
         let target = &mut self.all[key.0];
         target.in_flight += 1;
         target.backlog += prompt_tokens;
     }
 
     /// Counts that a target has begun to answer, and so has processed a prompt of so many tokens.
-    pub fn prefilled(&mut self, key: Key, prompt_tokens: u64) {
+    pub fn prefilled(&mut self, key: TargetKey, prompt_tokens: u64) {
         let target = &mut self.all[key.0];
         target.backlog = target.backlog.saturating_sub(prompt_tokens);
     }
 
     /// Counts that a request has ended there.
-    pub fn end(&mut self, key: Key) {
+    pub fn end(&mut self, key: TargetKey) {
         let target = &mut self.all[key.0];
         assert!(target.in_flight > 0, "a request that ends has begun");
         target.in_flight -= 1;
     }
 
     /// Notes the load that a target reported.
-    pub fn note_load(&mut self, now: Millis, key: Key, load: Load) {
+    pub fn note_load(&mut self, now: Millis, key: TargetKey, load: Load) {
         self.all[key.0].load = Some((now, load));
     }
 
     /// Notes the blocks that a target has most likely cached now.
-    pub fn note_prompt(&mut self, now: Millis, key: Key, prompt: &Prompt) {
+    pub fn note_prompt(&mut self, now: Millis, key: TargetKey, prompt: &Prompt) {
         self.cache.note(now, key, prompt);
     }
 
     /// Notes how an attempt ended there; whether the target is ejected by it.
-    pub fn note_outcome(&mut self, now: Millis, key: Key, outcome: Outcome) -> bool {
+    pub fn note_outcome(&mut self, now: Millis, key: TargetKey, outcome: Outcome) -> bool {
         let target = &mut self.all[key.0];
         target.attempts.note(now, outcome);
         let fails = target.health.note(outcome);
@@ -198,18 +198,18 @@
     }
 
     /// Targets of a service that take requests.
-    fn open(&self, service: &str) -> impl Iterator<Item = Key> {
+    fn open(&self, service: &str) -> impl Iterator<Item = TargetKey> {
         let group = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
         group.iter().copied().filter(|key| self.get(*key).is_open())
     }
 
     /// Targets of a service that a request may be sent to, without those that were tried. Ejected ones
     /// are left out unless there are no others.
-    pub fn candidates(&self, now: Millis, service: &str, tried: &[Key]) -> Vec<Key> {
+    pub fn candidates(&self, now: Millis, service: &str, tried: &[TargetKey]) -> Vec<TargetKey> {
         let open = self.open(service).filter(|key| !tried.contains(key));
-        let open: Vec<Key> = open.collect();
-        let is_well = |key: &Key| !self.get(*key).health.is_ejected(now);
-        let well: Vec<Key> = open.iter().copied().filter(is_well).collect();
+        let open: Vec<TargetKey> = open.collect();
+        let is_well = |key: &TargetKey| !self.get(*key).health.is_ejected(now);
+        let well: Vec<TargetKey> = open.iter().copied().filter(is_well).collect();
         if well.is_empty() { open } else { well }
     }
 
@@ -217,11 +217,11 @@
     pub fn choose_plain(
         &self,
         now: Millis,
-        candidates: &[Key],
+        candidates: &[TargetKey],
         hall: &str,
         seed: u64,
-    ) -> Option<Key> {
-        let candidate = |key: &Key| self.get(*key).candidate(now, *key, hall);
+    ) -> Option<TargetKey> {
+        let candidate = |key: &TargetKey| self.get(*key).candidate(now, *key, hall);
         let candidates: Vec<Candidate> = candidates.iter().map(candidate).collect();
         placement::choose_plain(&candidates, seed)
     }
@@ -230,13 +230,13 @@
     pub fn choose_model(
         &self,
         now: Millis,
-        candidates: &[Key],
+        candidates: &[TargetKey],
         hall: &str,
         prompt: &Prompt,
-    ) -> Option<Key> {
+    ) -> Option<TargetKey> {
         let shared = prompt.shared_blocks();
         let last = shared.last().map_or(0, |block| block.id);
-        let candidate = |key: &Key| {
+        let candidate = |key: &TargetKey| {
             let target = self.get(*key);
             ModelCandidate {
                 target: target.candidate(now, *key, hall),
@@ -296,7 +296,7 @@
     }
 
     /// What its choice depends on.
-    fn candidate(&self, now: Millis, key: Key, hall: &str) -> Candidate {
+    fn candidate(&self, now: Millis, key: TargetKey, hall: &str) -> Candidate {
         let load = self.load(now);
         let counted = f64::from(self.in_flight + self.others.in_flight);
         let reported = f64::from(load.running + load.waiting);
--- a/src/router/http/caller.rs
+++ b/src/router/api/caller.rs
@@ -1,6 +1,5 @@
 //! What callers ask: model calls, service calls, and which of our addresses to use.
 
-use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Instant;
@@ -8,21 +7,21 @@
 use bytes::Bytes;
 use futures::Stream;
 use http::{HeaderMap, StatusCode, header};
-use serde::Serialize;
 use serde_json::json;
 use volo_http::response::Response;
 use volo_http::server::IntoResponse;
 use volo_http::server::response::sse::{Event, Sse};
 use xxhash_rust::xxh3::Xxh3;
 
-use super::answer::{About, Answer, Step, Work};
-use super::chat::{Frame, Usage};
-use super::relay::kind;
-use super::reply::Wrong;
-use super::{BUDGET, CLASS, REPEATABLE, REQUEST_ID, chat, reply};
-use crate::router::Shared;
 use crate::router::control::Spec;
+use crate::router::http::answer::{About, Answer, Step, Work};
+use crate::router::http::chat::{Frame, Usage};
+use crate::router::http::entry::Entry;
+use crate::router::http::relay::kind;
+use crate::router::http::reply::Wrong;
+use crate::router::http::{BUDGET, CLASS, REPEATABLE, REQUEST_ID, chat, reply};
 use crate::router::request::{Id, Verdict};
+use crate::router::shared::Shared;
 use crate::units::Tokens;
 use crate::util::{is_name, secret_matches};
 
@@ -31,26 +30,6 @@
 /// How long a caller may keep an entry answer.
 const KEEP_MS: u64 = 60_000;
 
-/// One address of an entry answer.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct Use {
-    /// Where to connect.
-    pub address: SocketAddr,
-    /// What to make request ids of there: this, then eight hexadecimal digits of the caller's
-    /// own, below 80000000.
-    pub prefix: String,
-}
-
-/// Which addresses to use.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, serde::Deserialize)]
-pub struct Entry {
-    /// Best first.
-    #[serde(rename = "use")]
-    pub addresses: Vec<Use>,
-    /// How long this may be kept, in milliseconds.
-    pub keep_ms: u64,
-}
-
 /// Who a caller has proved to be, and how its request is to be treated.
 struct Caller {
     customer: String,
--- a/src/router/http/operator.rs
+++ b/src/router/api/operator.rs
@@ -8,11 +8,12 @@
 use serde_json::json;
 use volo_http::response::Response;
 
-use super::reply;
-use super::reply::Wrong;
-use crate::router::Shared;
+use crate::router::config::Intent;
 use crate::router::control::{Action, Input};
-use crate::router::intent::{Intent, Outcome, Plan, Refused};
+use crate::router::http::reply;
+use crate::router::http::reply::Wrong;
+use crate::router::intent::{Outcome, Plan, Refused};
+use crate::router::shared::Shared;
 use crate::util::secret_matches;
 
 /// Name in an operator's key, before the colon.
--- a/src/router/budget/holder.rs
+++ b/src/router/budget/holder.rs
@@ -6,8 +6,9 @@
 
 use std::collections::BTreeMap;
 
-use super::{BudgetKey, Demand, Grant, Sizing, Violation};
-use crate::router::log::Incarnation;
+use super::{Demand, Grant, Sizing};
+use crate::router::key::{BudgetKey, Incarnation};
+use crate::router::log::Violation;
 use crate::router::request::Id;
 use crate::units::{Millis, Tokens};
 
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -7,9 +7,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{BudgetKey, Sequence, Violation};
 use crate::router::intent::{Change, Outcome, Outcomes, Plan, Refused, Terms};
-use crate::router::log::{Closed, Fold, Incarnation, Record};
+use crate::router::key::{BudgetKey, Incarnation};
+use crate::router::log::{Closed, Fold, Record, Sequence, Violation};
 use crate::router::request::Id;
 use crate::units::{Offset, Tokens};
 
--- a/src/router/budget/mod.rs
+++ b/src/router/budget/mod.rs
@@ -10,34 +10,10 @@
 mod holder;
 mod ledger;
 mod pledge;
-mod sequence;
-mod violation;
 mod witness;
 
 pub use demand::{Demand, Sizing};
 pub use holder::{Holder, Shortage};
 pub use ledger::{Budget, Grant, Ledger, PREPAID_MAX};
 pub use pledge::{Pledge, Price};
-pub use sequence::{Member, Sequence};
-pub use violation::Violation;
 pub use witness::{Answer, Replay, Resolved, State, Taken, Ward, Witness};
-
-use serde::{Deserialize, Serialize};
-
-use crate::router::log::Stream;
-
-/// A budget's place in its shard's ledger; the same in every router.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct BudgetKey {
-    /// The shard whose ledger has it.
-    pub shard: u8,
-    /// Index in that ledger.
-    pub index: u32,
-}
-
-impl BudgetKey {
-    /// The stream that the budget lives in.
-    pub fn stream(self) -> Stream {
-        Stream::Shard(self.shard)
-    }
-}
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -9,8 +9,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{BudgetKey, Pledge};
-use crate::router::log::{Closed, Incarnation, Open};
+use super::Pledge;
+use crate::router::key::{BudgetKey, Incarnation};
+use crate::router::log::{Closed, Open};
 use crate::router::request::{EPOCH_KEEP, Id, epoch_of};
 use crate::units::{Millis, Tokens};
 
--- a/src/router/client/log.rs
+++ b/src/router/client/log.rs
@@ -10,7 +10,8 @@
 use snafu::ResultExt;
 
 use super::{CallSnafu, Client, Error, client, json};
-use crate::router::log::{Batch, Stream};
+use crate::router::key::Stream;
+use crate::router::log::Batch;
 use crate::units::{Millis, Offset};
 
 const SERVICE: &str = "log";
--- a/src/router/intent/config.rs
+++ b/src/router/config/fold.rs
@@ -4,11 +4,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{
+use crate::router::intent::{
     Change, Class, Customer, Key, Kind, Object, Objective, Outcome, Outcomes, Plan, Refused, Target,
 };
-use crate::router::budget::{Sequence, Violation};
-use crate::router::log::{Fold, Incarnation, Record};
+use crate::router::key::Incarnation;
+use crate::router::log::{Fold, Record, Sequence, Violation};
 use crate::units::Offset;
 
 /// An object with its version.
--- a/src/router/intent/ask.rs
+++ b/src/router/config/planning.rs
@@ -3,9 +3,10 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-use super::{Change, Class, Config, Key, Object, Plan, PlanId, Target, Terms};
-use crate::router::budget::{Budget, BudgetKey, Ledger, PREPAID_MAX};
-use crate::router::log::{Incarnation, Stream};
+use super::fold::Config;
+use crate::router::budget::{Budget, Ledger, PREPAID_MAX};
+use crate::router::intent::{Change, Class, Key, Object, Plan, PlanId, Target, Terms};
+use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::units::{Offset, Tokens};
 use crate::util::is_name;
 
--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -5,12 +5,13 @@
 
 use serde::Serialize;
 
-use crate::router::budget::{BudgetKey, Violation};
-use crate::router::intent::{Config, Error, Intent, Kind, Outcome, Plan, Proposal};
-use crate::router::log::{Batch, Incarnation, Stream};
+use crate::router::config::{Config, Error, Intent, Proposal};
+use crate::router::intent::{Kind, Outcome, Plan};
+use crate::router::key::{BudgetKey, Incarnation, Stream};
+use crate::router::log::{Batch, Violation};
 use crate::router::message::{Reply, Request};
+use crate::router::pool::Choice;
 use crate::router::request::{Id, Prefix, Ticket, Verdict};
-use crate::router::target::Choice;
 use crate::units::{Millis, Offset, Tokens};
 
 /// Ties an answer to the peer or operator that waits for it.
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -3,9 +3,9 @@
 use super::job::{Job, Stage};
 use super::state::Asked;
 use super::{Action, Spec, State};
-use crate::router::budget::{BudgetKey, Taken};
+use crate::router::budget::Taken;
 use crate::router::intent::Kind;
-use crate::router::log::{Incarnation, Stream};
+use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::router::message::Request;
 use crate::router::request::{EPOCH_KEEP, Found, Reason, Ticket, Verdict, Waiting};
 use crate::units::{Millis, Tokens};
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -5,8 +5,8 @@
 use crate::ejection::Outcome;
 use crate::router::intent::Kind;
 use crate::router::message::Ask;
+use crate::router::pool::{Choice, Want};
 use crate::router::request::{Id, Reason, Ticket, Verdict, Waiting};
-use crate::router::target::{Choice, Want};
 use crate::units::{Millis, Tokens};
 
 /// Dispatches of one request, at most.
@@ -380,7 +380,7 @@
 }
 
 fn choose<R: rand::Rng>(
-    pool: &crate::router::target::Pool,
+    pool: &crate::router::pool::Pool,
     now: Millis,
     job: &Job,
     rng: &mut R,
--- a/src/router/control/job.rs
+++ b/src/router/control/job.rs
@@ -1,11 +1,11 @@
 //! One request on its way.
 
-use crate::router::budget::{BudgetKey, Pledge, Price};
+use crate::router::budget::{Pledge, Price};
 use crate::router::intent::Kind;
-use crate::router::log::Incarnation;
+use crate::router::key::{BudgetKey, Incarnation};
 use crate::router::message::Ask;
+use crate::router::pool::{Choice, TargetKey};
 use crate::router::request::{Ticket, Verdict};
-use crate::router::target::{Choice, TargetKey};
 use crate::units::{Millis, Tokens};
 
 use super::Spec;
--- a/src/router/control/link.rs
+++ b/src/router/control/link.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::router::log::Incarnation;
+use crate::router::key::Incarnation;
 use crate::router::message::{Ask, Request};
 use crate::units::Millis;
 
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -1,8 +1,8 @@
 //! Asking for grants, giving them back, and writing down what was spent.
 
 use super::State;
-use crate::router::budget::BudgetKey;
-use crate::router::log::{Record, Stream};
+use crate::router::key::{BudgetKey, Stream};
+use crate::router::log::Record;
 use crate::router::request::{Reason, Ticket};
 use crate::units::{Millis, Tokens};
 
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -5,9 +5,11 @@
 use super::action::{StatusBudget, Token};
 use super::state::Confirming;
 use super::{Action, State, Status, StatusPeer};
-use crate::router::budget::{Budget, BudgetKey};
-use crate::router::intent::{self, Intent, Outcome, Plan, World};
-use crate::router::log::{Record, SHARDS, Stream};
+use crate::router::budget::Budget;
+use crate::router::config::{Intent, World, plan};
+use crate::router::intent::{Outcome, Plan, Refused};
+use crate::router::key::{BudgetKey, SHARDS, Stream};
+use crate::router::log::Record;
 use crate::units::Millis;
 
 /// A confirm that is not read back within this is answered so; it may be repeated.
@@ -22,7 +24,7 @@
             config: self.config.state(),
             ledgers: self.ledgers.iter().map(|ledger| ledger.state()).collect(),
         };
-        let result = intent::plan(&world, id, intent);
+        let result = plan(&world, id, intent);
         self.out.push(Action::Planned { token, result });
     }
 
@@ -38,7 +40,7 @@
         let Some(writer) = self.writers.get_mut(&stream) else {
             self.out.push(Action::Confirmed {
                 token,
-                outcome: Some(Outcome::Refused(intent::Refused::Unfit)),
+                outcome: Some(Outcome::Refused(Refused::Unfit)),
             });
             return;
         };
@@ -125,7 +127,7 @@
 
     pub(super) fn status(&mut self, token: Token) {
         let me = self.membership.me();
-        let hex = |one: crate::router::log::Incarnation| one.to_string();
+        let hex = |one: crate::router::key::Incarnation| one.to_string();
         let peers = self.membership.peers(self.now);
         let peers = peers.into_iter().map(|(peer, standing)| StatusPeer {
             entry: peer.entry,
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -9,14 +9,16 @@
 use super::job::{Job, Settling};
 use super::link::Link;
 use super::{Action, Call, Input, Token};
-use crate::router::budget::{BudgetKey, Grant, Holder, Ledger, Sizing, Violation, Witness};
+use crate::router::budget::{Grant, Holder, Ledger, Sizing, Witness};
+use crate::router::config::Config;
 use crate::router::host::{Membership, Peer};
-use crate::router::intent::{Config, Kind, Plan};
-use crate::router::log::{Checkpoint, Follower, Incarnation, Stream, Writer};
+use crate::router::intent::{Kind, Plan};
+use crate::router::key::{BudgetKey, Incarnation, Stream};
+use crate::router::log::{Checkpoint, Follower, Violation, Writer};
+use crate::router::pool::Pool;
 use crate::router::request::{
     Bound, EPOCH_LENGTH, Id, Prefix, Queue, Reason, Table, Ticket, Verdict,
 };
-use crate::router::target::Pool;
 use crate::units::{Millis, Offset};
 
 /// Numbers in our books of requests that were taken over start here. Those of callers are below
@@ -160,7 +162,7 @@
             now,
             out: Vec::new(),
             config: Follower::default(),
-            ledgers: (0..crate::router::log::SHARDS)
+            ledgers: (0..crate::router::key::SHARDS)
                 .map(|_| Follower::default())
                 .collect(),
             writers: Stream::all()
--- a/src/router/control/streams.rs
+++ b/src/router/control/streams.rs
@@ -4,7 +4,8 @@
 
 use super::state::Due;
 use super::{Action, State};
-use crate::router::log::{Batch, Checkpoint, Progress, Record, Stream};
+use crate::router::key::Stream;
+use crate::router::log::{Batch, Checkpoint, Progress, Record};
 use crate::units::{Millis, Offset};
 
 /// Longest wait of a checkpoint's writer for somebody else to be first.
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -6,8 +6,8 @@
 use tokio::runtime::Handle;
 use tokio::sync::{mpsc, oneshot};
 
-use super::Shared;
 use super::edge::Edge;
+use super::shared::Shared;
 use crate::router::control::{Action, Input, Settings, State};
 use crate::units::Millis;
 
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -5,7 +5,7 @@
 
 use tokio::runtime::Handle;
 
-use super::Shared;
+use super::shared::Shared;
 use crate::router::client::Log;
 use crate::router::control::{Action, Input};
 use crate::router::http::answer::{Answer, Work};
@@ -99,7 +99,7 @@
         }
     }
 
-    fn append(&self, stream: crate::router::log::Stream, batch: crate::router::log::Batch) {
+    fn append(&self, stream: crate::router::key::Stream, batch: crate::router::log::Batch) {
         let shared = Arc::clone(&self.shared);
         let log = shared.log.clone();
         self.traffic.spawn(async move {
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::Shared;
+use super::shared::Shared;
 use crate::router::client::{Cursor, HostList, Log, Page};
 use crate::router::control::Input;
 use crate::router::http::relay::Relay;
-use crate::router::log::Stream;
+use crate::router::key::Stream;
 use crate::units::{Millis, Offset};
 
 /// Longest wait of a read for something new.
--- a/src/router/host/member.rs
+++ b/src/router/host/member.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::rank;
-use crate::router::log::Incarnation;
+use crate::router::key::Incarnation;
 use crate::units::{Millis, Offset};
 
 /// Others told in a round.
--- a/src/router/http/mod.rs
+++ b/src/router/http/mod.rs
@@ -1,9 +1,8 @@
-//! HTTP towards callers, operators and targets.
+//! What HTTP requests and answers look like, and answers on their way from a target to callers.
 
 pub mod answer;
-pub mod caller;
 pub mod chat;
-pub mod operator;
+pub mod entry;
 pub mod relay;
 pub mod reply;
 
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -18,8 +18,8 @@
 use super::{ATTEMPT, FENCE, RANK, REQUEST_ID, VERDICT};
 use crate::router::control::End;
 use crate::router::intent::Kind;
+use crate::router::pool::Choice;
 use crate::router::request::Id;
-use crate::router::target::Choice;
 use crate::units::{Millis, Tokens};
 
 /// Times in a row that a broken stream is resumed without anything new.
--- a/src/router/intent/plan.rs
+++ b/src/router/intent/plan.rs
@@ -5,8 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Key, Object, Terms};
-use crate::router::budget::BudgetKey;
-use crate::router::log::{Incarnation, Stream};
+use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::units::{Offset, Tokens};
 
 /// Plans whose outcome a stream remembers; a confirm repeated later is judged anew, and is stale.
--- a/src/router/log/follower.rs
+++ b/src/router/log/follower.rs
@@ -3,8 +3,9 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use super::{Batch, Checkpoint, Incarnation, Record, digest};
-use crate::router::budget::Violation;
+use super::Violation;
+use super::{Batch, Checkpoint, Record, digest};
+use crate::router::key::Incarnation;
 use crate::units::Offset;
 use crate::util::{decode, encode};
 
--- a/src/router/log/mod.rs
+++ b/src/router/log/mod.rs
@@ -6,11 +6,12 @@
 
 mod follower;
 mod record;
+mod sequence;
+mod violation;
 mod writer;
 
 pub use follower::{Fold, Follower, Progress};
-pub use record::{Batch, Checkpoint, Closed, Entry, Incarnation, Open, Record, Stream, digest};
+pub use record::{Batch, Checkpoint, Closed, Entry, Open, Record, digest};
+pub use sequence::{Member, Sequence};
+pub use violation::Violation;
 pub use writer::Writer;
-
-/// Number of shard streams; all routers of a fleet must agree on it.
-pub const SHARDS: u8 = 16;
--- a/src/router/log/record.rs
+++ b/src/router/log/record.rs
@@ -1,66 +1,12 @@
 //! Records of the log and the batches that carry them.
 
-use std::fmt;
-use std::str::FromStr;
-
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::SHARDS;
-use crate::router::budget::BudgetKey;
 use crate::router::intent::Plan;
+use crate::router::key::{BudgetKey, Incarnation};
 use crate::units::{Offset, Tokens};
 
-/// One run of one router process; a new one is drawn at random at each start and after a close.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
-pub struct Incarnation(pub u64);
-
-impl fmt::Display for Incarnation {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:016x}", self.0)
-    }
-}
-
-impl FromStr for Incarnation {
-    type Err = std::num::ParseIntError;
-    fn from_str(text: &str) -> Result<Self, Self::Err> {
-        u64::from_str_radix(text, 16).map(Self)
-    }
-}
-
-/// A stream of the log.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Stream {
-    /// Customers, classes, targets, objectives.
-    Config,
-    /// The budgets of the customers that hash to this shard.
-    Shard(u8),
-}
-
-impl Stream {
-    /// Every stream of a fleet.
-    pub fn all() -> impl Iterator<Item = Self> {
-        std::iter::once(Self::Config).chain((0..SHARDS).map(Self::Shard))
-    }
-
-    /// The stream that holds a customer's budgets.
-    pub fn of_customer(customer: &str) -> Self {
-        let shard = xxh3_64(customer.as_bytes()) % u64::from(SHARDS);
-        Self::Shard(u8::try_from(shard).expect("below SHARDS"))
-    }
-}
-
-impl fmt::Display for Stream {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Config => f.write_str("config"),
-            Self::Shard(n) => write!(f, "shard-{n}"),
-        }
-    }
-}
-
 /// A request that was open when its holder was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open {
--- a/src/router/budget/sequence.rs
+++ b/src/router/log/sequence.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::router::log::Incarnation;
+use crate::router::key::Incarnation;
 use crate::units::Offset;
 
 /// Writers remembered after they have left or were closed. One that is older than this many
--- a/src/router/budget/violation.rs
+++ b/src/router/log/violation.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use crate::router::log::Incarnation;
+use crate::router::key::Incarnation;
 use crate::router::request::Id;
 use crate::units::{Offset, Tokens};
 
--- a/src/router/log/writer.rs
+++ b/src/router/log/writer.rs
@@ -2,7 +2,8 @@
 
 use std::collections::VecDeque;
 
-use super::{Batch, Entry, Incarnation, Record};
+use super::{Batch, Entry, Record};
+use crate::router::key::Incarnation;
 use crate::units::Millis;
 
 /// An append unanswered for this long is sent again.
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -2,9 +2,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::router::budget::{Answer, BudgetKey, Pledge, Taken, Ward};
+use crate::router::budget::{Answer, Pledge, Taken, Ward};
 use crate::router::host::Peer;
-use crate::router::log::{Checkpoint, Incarnation, Stream};
+use crate::router::key::{BudgetKey, Incarnation, Stream};
+use crate::router::log::Checkpoint;
 use crate::router::request::Id;
 use crate::units::Tokens;
 
--- a/src/router/target/pool.rs
+++ b/src/router/pool.rs
@@ -9,7 +9,6 @@
 
 use rand::{Rng, RngExt};
 
-use super::TargetKey;
 use crate::ejection::{self, Health, Outcome};
 use crate::router::intent::{Kind, Target};
 use crate::units::{Millis, Offset};
@@ -17,6 +16,10 @@
 /// A load report older than this counts for nothing.
 const REPORT_KEEP: Millis = Millis(5_000);
 
+/// A target's place in the pool of this process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TargetKey(pub u32);
+
 /// What a request asks of a target.
 #[derive(Clone, Debug)]
 pub struct Want<'a> {
--- a/src/router/process.rs
+++ b/src/router/process.rs
@@ -12,14 +12,14 @@
 use volo_http::server::param::PathParams;
 use volo_http::server::route::{Router, get, post};
 
+use super::shared::Shared;
+use super::{core, feed};
+use crate::router::api::{caller, operator};
 use crate::router::client::{HttpHosts, HttpLog};
 use crate::router::control::{Input, Settings};
-use crate::router::http::{Headers, caller, operator};
+use crate::router::http::Headers;
 use crate::wire;
 
-use super::shared::Shared;
-use super::{core, feed};
-
 /// How often a stopping router looks whether its streams have ended.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
@@ -51,7 +51,13 @@
 /// The server's error.
 pub async fn run(options: Options) -> Result<(), volo_http::error::BoxError> {
     let (input, inputs) = mpsc::unbounded_channel();
-    let shared = Arc::new(Shared::new(input, &options));
+    let shared = Arc::new(Shared::new(
+        input,
+        options.settings.me.incarnation,
+        options.operator_hash.clone(),
+        options.fleet_key.clone(),
+        options.log.clone(),
+    ));
     let exit = core::spawn(
         options.settings,
         Arc::clone(&shared),
--- a/src/router/request/id.rs
+++ b/src/router/request/id.rs
@@ -10,7 +10,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::router::log::Incarnation;
+use crate::router::key::Incarnation;
 use crate::units::Millis;
 
 /// Uptime that an epoch spans.
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -9,13 +9,12 @@
 use arc_swap::ArcSwap;
 use tokio::sync::{mpsc, oneshot};
 
-use super::Options;
 use crate::router::client::HttpLog;
+use crate::router::config::Config;
 use crate::router::control::{Action, Input, Spec, Token};
 use crate::router::http::answer::{Answer, Answers};
-use crate::router::http::caller::Use;
-use crate::router::intent::Config;
-use crate::router::log::Incarnation;
+use crate::router::http::entry::Use;
+use crate::router::key::Incarnation;
 use crate::router::message::{Reply, Request};
 use crate::router::report::{Metrics, Trail};
 use crate::router::request::{Id, Prefix, Ticket};
@@ -53,9 +52,15 @@
 }
 
 impl Shared {
-    pub(super) fn new(input: mpsc::UnboundedSender<Input>, options: &Options) -> Self {
+    pub(super) fn new(
+        input: mpsc::UnboundedSender<Input>,
+        incarnation: Incarnation,
+        operator_hash: String,
+        fleet_key: String,
+        log: HttpLog,
+    ) -> Self {
         let prefix = Prefix {
-            incarnation: options.settings.me.incarnation,
+            incarnation,
             epoch: 1,
         };
         Self {
@@ -66,9 +71,9 @@
             metrics: Metrics::default(),
             trail: Trail::default(),
             streams: Arc::default(),
-            operator_hash: options.operator_hash.clone(),
-            fleet_key: options.fleet_key.clone(),
-            log: options.log.clone(),
+            operator_hash,
+            fleet_key,
+            log,
             active: Mutex::default(),
             waiting: Mutex::default(),
             next: AtomicU64::new(1),
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -24,9 +24,8 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{empty, json, lock, set_faults};
-use crate::router::http::Headers;
-use crate::router::http::chat;
 use crate::router::http::relay::{Fate, Load};
+use crate::router::http::{Headers, chat};
 
 /// Speed and size of an engine.
 #[derive(Clone, Copy, Debug)]
--- a/tests/checkpoints.rs
+++ b/tests/checkpoints.rs
@@ -1,8 +1,9 @@
 //! Following a stream: from its start, past its retention, and from a peer.
 
-use lanedeck::router::budget::{BudgetKey, Ledger, Violation};
+use lanedeck::router::budget::Ledger;
 use lanedeck::router::intent::{Change, Plan, Terms};
-use lanedeck::router::log::{Batch, Checkpoint, Entry, Follower, Incarnation, Record, Stream};
+use lanedeck::router::key::{BudgetKey, Incarnation, Stream};
+use lanedeck::router::log::{Batch, Checkpoint, Entry, Follower, Record, Violation};
 use lanedeck::units::{Offset, Tokens};
 
 const WRITER: Incarnation = Incarnation(5);
--- a/tests/entry_answers.rs
+++ b/tests/entry_answers.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use lanedeck::router::host::{Membership, Peer};
-use lanedeck::router::log::Incarnation;
+use lanedeck::router::key::Incarnation;
 use lanedeck::units::{Millis, Offset};
 
 fn peer(place: u16) -> Peer {
--- a/tests/ledger_sums.rs
+++ b/tests/ledger_sums.rs
@@ -2,9 +2,10 @@
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
-use lanedeck::router::budget::{BudgetKey, Ledger, Violation};
+use lanedeck::router::budget::Ledger;
 use lanedeck::router::intent::{Change, Plan, Terms};
-use lanedeck::router::log::{Batch, Closed, Fold, Follower, Incarnation, Open, Record, Stream};
+use lanedeck::router::key::{BudgetKey, Incarnation, Stream};
+use lanedeck::router::log::{Batch, Closed, Fold, Follower, Open, Record, Violation};
 use lanedeck::units::{Offset, Tokens};
 use lanedeck::util;
 
--- a/tests/log_faults.rs
+++ b/tests/log_faults.rs
@@ -85,7 +85,7 @@
         let one = applied.into_iter().find(|one| one[0] == name);
         one.map_or(0, |one| one[1].as_u64().unwrap_or_default())
     };
-    let shard = lanedeck::router::log::Stream::of_customer("kiosks").to_string();
+    let shard = lanedeck::router::key::Stream::of_customer("kiosks").to_string();
     let mut prepaid = PREPAID;
     while stream(&area.status(0), &shard) < 150 {
         prepaid += 1;
--- a/tests/pinned_gateway.rs
+++ b/tests/pinned_gateway.rs
@@ -20,7 +20,7 @@
 use lanedeck::gateway::metrics::Metrics;
 use lanedeck::gateway::reply;
 use lanedeck::gateway::route::Kind;
-use lanedeck::gateway::target::{Outstanding, View};
+use lanedeck::gateway::targets::{Outstanding, View};
 use lanedeck::store::{Partition, Record, Store, Topic};
 use lanedeck::units::{Millis, Tokens};
 use pins::{options, pin};
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -6,18 +6,17 @@
 
 use std::net::SocketAddr;
 
-use lanedeck::router::budget::{Answer, BudgetKey, Ledger, Pledge, Price, Taken, Ward};
+use lanedeck::router::budget::{Answer, Ledger, Pledge, Price, Taken, Ward};
+use lanedeck::router::config::{Config, Intent, Proposal};
 use lanedeck::router::control::{Status, StatusBudget, StatusPeer};
 use lanedeck::router::host::Peer;
-use lanedeck::router::http::caller::{Entry as EntryAnswer, Use};
+use lanedeck::router::http::entry::{Entry as EntryAnswer, Use};
 use lanedeck::router::http::{chat, reply};
 use lanedeck::router::intent::{
-    Change, Class, Config, Customer, Intent, Key, Kind, Object, Objective, Plan, Proposal, Target,
-    Terms,
-};
-use lanedeck::router::log::{
-    Batch, Checkpoint, Closed, Entry, Fold, Incarnation, Open, Record, Stream, digest,
+    Change, Class, Customer, Key, Kind, Object, Objective, Plan, Target, Terms,
 };
+use lanedeck::router::key::{BudgetKey, Incarnation, Stream};
+use lanedeck::router::log::{Batch, Checkpoint, Closed, Entry, Fold, Open, Record, digest};
 use lanedeck::router::message::{Ask, Reply, Request};
 use lanedeck::router::report;
 use lanedeck::router::request::{Id, Prefix, Reason, Verdict};
--- a/tests/target_choice.rs
+++ b/tests/target_choice.rs
@@ -4,7 +4,7 @@
 
 use lanedeck::ejection::Outcome;
 use lanedeck::router::intent::{Kind, Target};
-use lanedeck::router::target::{Pool, TargetKey, Want};
+use lanedeck::router::pool::{Pool, TargetKey, Want};
 use lanedeck::units::{Millis, Offset, Tokens};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
--- a/tests/target_view.rs
+++ b/tests/target_view.rs
@@ -2,7 +2,8 @@
 
 use lanedeck::ejection::Outcome;
 use lanedeck::gateway::dialect::{Block, Listing, Prompt};
-use lanedeck::gateway::target::{Key, Targets};
+use lanedeck::gateway::key::TargetKey;
+use lanedeck::gateway::targets::Targets;
 use lanedeck::units::{Millis, Tokens};
 
 const NOW: Millis = Millis(1_000_000);
@@ -49,17 +50,17 @@
     targets.list(listing(0, false));
     // Another router that read the list earlier still thinks that it is ready.
     targets.list_from_peer(listing(0, true));
-    assert_eq!(targets.candidates(NOW, "s", &[]), [Key(1)]);
+    assert_eq!(targets.candidates(NOW, "s", &[]), [TargetKey(1)]);
     targets.unlist(NOW, "i-1");
     targets.list_from_peer(listing(1, true));
     assert!(targets.candidates(NOW, "s", &[]).is_empty());
     // The store itself may list one again, whose entry had gone while it could not write.
     targets.list(listing(1, true));
-    assert_eq!(targets.candidates(NOW, "s", &[]), [Key(1)]);
+    assert_eq!(targets.candidates(NOW, "s", &[]), [TargetKey(1)]);
     // New ones and leaving ones are taken from another router.
     targets.list_from_peer(listing(7, true));
     targets.list_from_peer(listing(1, false));
-    assert_eq!(targets.candidates(NOW, "s", &[]), [Key(2)]);
+    assert_eq!(targets.candidates(NOW, "s", &[]), [TargetKey(2)]);
 }
 
 #[test]
@@ -112,21 +113,21 @@
 fn failing_target_is_avoided() {
     let mut targets = targets(4);
     for _ in 0..20 {
-        targets.note_outcome(NOW, Key(2), Outcome::Failed);
+        targets.note_outcome(NOW, TargetKey(2), Outcome::Failed);
     }
     let candidates = targets.candidates(NOW, "s", &[]);
-    assert!(!candidates.contains(&Key(2)));
+    assert!(!candidates.contains(&TargetKey(2)));
     for seed in 0..50 {
         let choice = targets.choose_plain(NOW, &candidates, "hall-0", seed);
         assert!(
-            choice.is_some_and(|key| key == Key(0)),
+            choice.is_some_and(|key| key == TargetKey(0)),
             "the own hall first"
         );
     }
     // At most half of a group may be out, however badly all do.
     for key in 0..4 {
         for _ in 0..20 {
-            targets.note_outcome(NOW, Key(key), Outcome::Failed);
+            targets.note_outcome(NOW, TargetKey(key), Outcome::Failed);
         }
     }
     assert!(targets.candidates(NOW, "s", &[]).len() >= 2);
--- a/tests/witness_rules.rs
+++ b/tests/witness_rules.rs
@@ -1,7 +1,7 @@
 //! A witness alone: what it acknowledges, and how it judges a takeover.
 
-use lanedeck::router::budget::{Answer, BudgetKey, Pledge, Price, Replay, Taken, Ward, Witness};
-use lanedeck::router::log::Incarnation;
+use lanedeck::router::budget::{Answer, Pledge, Price, Replay, Taken, Ward, Witness};
+use lanedeck::router::key::{BudgetKey, Incarnation};
 use lanedeck::router::request::Id;
 use lanedeck::units::{Millis, Tokens};
 
