--- a/src/cmd/burn.rs
+++ b/src/cmd/burn.rs
@@ -3,7 +3,7 @@
 use gumdrop::Options;
 
 use super::client::{Client, addresses};
-use super::{Error, Result, block_on, print, usage};
+use super::{Error, Result, block_on, print, start_logs, usage};
 use crate::router::report::{Series, burn, page};
 
 pub const ABOUT: &str = "Asks routers for their series, merges them, and reports for each customer,
@@ -43,6 +43,7 @@
 }
 
 pub fn run(args: &Args) -> Result<()> {
+    start_logs("warn");
     let to = addresses("to", &args.to)?;
     if !["table", "json", "html"].contains(&args.format.as_str()) {
         return usage(format!(
@@ -65,7 +66,7 @@
     })?;
     let rows = burn::merge(series);
     let text = match args.format.as_str() {
-        "json" => serde_json::to_string_pretty(&rows).unwrap_or_default() + "\n",
+        "json" => serde_json::to_string_pretty(&rows).expect("rows are plain data") + "\n",
         "html" => page(&rows),
         _ => burn::table(&rows),
     };
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -99,6 +99,7 @@
     let limits = config
         .as_ref()
         .map(|config| config.limits)
+        // Without a configuration, requests are refused; their heads are bounded all the same.
         .unwrap_or_default();
     let service = service_fn(move |request| {
         let (shared, endpoint) = (Arc::clone(&shared), endpoint.clone());
--- a/src/gateway/state/money.rs
+++ b/src/gateway/state/money.rs
@@ -105,7 +105,7 @@
             };
             let ledger = self.ledgers.entry(customer.clone()).or_default();
             let account = self.accounts.entry(customer.clone()).or_default();
-            let needed = waiting.get(&customer).copied().unwrap_or_default();
+            let needed = waiting.get(&customer).copied().unwrap_or(Tokens::ZERO);
             let row = account.wanted(now, ledger, &holder, prepaid, &sizing, needed);
             let is_needed = needed > Tokens::ZERO && account.gains(&row);
             if is_needed || account.is_worth_writing(&row, prepaid) {
--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -76,9 +76,10 @@
     let allowed = config
         .customer(&customer)
         .map(|customer| customer.classes.clone());
+    // A customer that was removed meanwhile may use no class.
     let allowed = allowed.unwrap_or_default();
     let class = text(headers, CLASS).or(allowed.first().map(String::as_str));
-    let class = class.unwrap_or_default().to_owned();
+    let class = class.unwrap_or("").to_owned();
     if !allowed.contains(&class) {
         let message = format!("{CLASS}: one of {}", allowed.join(", "));
         return Err(Wrong::field("class", message));
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -412,7 +412,7 @@
     fn overdrawn(&self, index: u32, holder: Incarnation) -> Violation {
         let name = self.budget(index).map(|budget| budget.name.clone());
         Violation::Overdrawn {
-            budget: name.unwrap_or_default(),
+            budget: name.unwrap_or_else(|| format!("number {index}")),
             holder,
         }
     }
--- a/src/router/config/planning.rs
+++ b/src/router/config/planning.rs
@@ -322,7 +322,7 @@
     };
     let held = budget.grants.get(&holder).map(|grant| grant.held());
     let doubted = budget.doubt.iter().filter(|((who, _), _)| *who == holder);
-    let open = held.unwrap_or_default() + doubted.map(|(_, amount)| *amount).sum();
+    let open = held.unwrap_or(Tokens::ZERO) + doubted.map(|(_, amount)| *amount).sum();
     let notes = vec![
         format!(
             "{holder} holds {open} tokens of {name}: {} are billed",
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -113,7 +113,8 @@
         let prices = targets
             .filter(|(_, _, target)| target.kind == Kind::Service && target.serves == service)
             .map(|(_, _, target)| target.call_price);
-        prices.max().unwrap_or_default()
+        // Without a runner nothing is dispatched, so nothing need be reserved.
+        prices.max().unwrap_or(Tokens::ZERO)
     }
 
     /// Takes on a request that this incarnation alone may run.
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -215,7 +215,7 @@
             return;
         };
         job.doubted = true;
-        job.seen = Some(used.max(job.seen.unwrap_or_default()));
+        job.seen = Some(used.max(job.seen.unwrap_or(Tokens::ZERO)));
         let again = job.spec.repeatable && !shown;
         if !again || !self.try_another(ticket, choice) {
             self.settle_broken(ticket, used);
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -66,6 +66,7 @@
             if let Action::Exit = action
                 && let Some(done) = done.take()
             {
+                // Nobody waits where the server has ended first.
                 let _ = done.send(());
             } else {
                 edge.act(action);
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -76,6 +76,7 @@
             Action::Call { call, to, request } => {
                 let (peers, shared) = (self.peers.clone(), Arc::clone(&self.shared));
                 self.traffic.spawn(async move {
+                    // The client logs why there is no answer; the control state only needs that.
                     let reply = peers.ask(to, &request).await.ok();
                     shared.tell(Input::Replied { call, reply });
                 });
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -129,7 +129,7 @@
     loop {
         tokio::time::sleep(LOAD_EVERY).await;
         for address in shared.active_targets() {
-            let from = cursors.get(&address).copied().unwrap_or_default();
+            let from = cursors.get(&address).copied().unwrap_or(0);
             let Some(load) = relay.load(address, from).await else {
                 continue;
             };
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -30,6 +30,8 @@
 const RESUME_WAIT_MAX: Duration = Duration::from_millis(400);
 /// Connections kept to one target.
 const IDLE_MAX: usize = 64;
+/// Longest wait for the answer to a question about load or about a request. Not measured.
+const QUESTION_WAIT: Duration = Duration::from_secs(2);
 
 type Client = volo_http::client::Client;
 
@@ -258,7 +260,8 @@
             let Ok(Ok(Some(event))) = event else {
                 return Read::Broken;
             };
-            let data = event.data().unwrap_or_default();
+            // An event without data is no frame, and ends the reading below.
+            let data = event.data().unwrap_or("");
             let Ok(frame) = serde_json::from_str::<Frame>(data) else {
                 return Read::Broken;
             };
@@ -311,15 +314,31 @@
         self.get(format!("http://{address}/v1/requests/{id}")).await
     }
 
+    /// Asks a target for JSON; `None` where it gives none.
     async fn get<T: serde::de::DeserializeOwned>(&self, uri: String) -> Option<T> {
-        let wait = Duration::from_secs(2);
-        let response = tokio::time::timeout(wait, self.kept.get(uri).send()).await;
-        let response = response.ok()?.ok()?;
+        match tokio::time::timeout(QUESTION_WAIT, self.fetch(&uri)).await {
+            Ok(Ok(answer)) => answer,
+            Ok(Err(error)) => {
+                tracing::debug!(event = "target_question_failed", %uri, %error);
+                None
+            }
+            Err(_) => {
+                tracing::debug!(event = "target_question_failed", %uri, error = "no answer");
+                None
+            }
+        }
+    }
+
+    async fn fetch<T: serde::de::DeserializeOwned>(
+        &self,
+        uri: &str,
+    ) -> Result<Option<T>, volo_http::error::BoxError> {
+        let response = self.kept.get(uri).send().await?;
         if response.status() != StatusCode::OK {
-            return None;
+            return Ok(None);
         }
-        let body = tokio::time::timeout(wait, response.into_body().into_bytes()).await;
-        serde_json::from_slice(&body.ok()?.ok()?).ok()
+        let body = response.into_body().into_bytes().await?;
+        Ok(Some(serde_json::from_slice(&body)?))
     }
 }
 
--- a/src/router/process.rs
+++ b/src/router/process.rs
@@ -76,6 +76,7 @@
         Box::pin(async move {
             tracing::info!(event = "stopping");
             stopping.tell(Input::Stop);
+            // Without an answer the control thread has ended, which is the same.
             let _ = exit.await;
             while stopping.has_streams() {
                 tokio::time::sleep(STOP_POLL).await;
--- a/src/router/report/burn.rs
+++ b/src/router/report/burn.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::metrics::{Key, MINUTES, Minute, Series, decode};
+use super::metrics::{Key, MINUTES, Minute, Series, decode, histogram};
 use crate::router::intent::Objective;
 
 /// Minutes of the short window.
@@ -81,8 +81,8 @@
 
 fn start(one: Series) -> Merged {
     Merged {
-        first: decode(&one.first),
-        between: decode(&one.between),
+        first: read(&one, &one.first),
+        between: read(&one, &one.between),
         row: Row {
             key: one.key,
             objective: one.objective,
@@ -117,9 +117,27 @@
         }
     }
     row.minutes.sort_by_key(|minute| minute.ago);
-    // Both have the same bounds, so adding cannot fail.
-    let _ = sum.first.add(decode(&one.first));
-    let _ = sum.between.add(decode(&one.between));
+    join(&mut sum.first, read(one, &one.first));
+    join(&mut sum.between, read(one, &one.between));
+}
+
+/// A series' histogram. One that cannot be read counts as empty, so that a report of many routers
+/// still tells of the others; the log says whose it was.
+fn read(one: &Series, text: &str) -> Histogram<u64> {
+    decode(text).unwrap_or_else(|error| {
+        let Key {
+            customer,
+            class,
+            serves,
+        } = &one.key;
+        tracing::warn!(event = "histogram_unreadable", %customer, %class, %serves, %error);
+        histogram()
+    })
+}
+
+fn join(sum: &mut Histogram<u64>, one: Histogram<u64>) {
+    sum.add(one)
+        .expect("a histogram that grows by itself takes any value");
 }
 
 fn finish(merged: Merged) -> Row {
--- a/src/router/report/metrics.rs
+++ b/src/router/report/metrics.rs
@@ -7,8 +7,9 @@
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use hdrhistogram::Histogram;
-use hdrhistogram::serialization::{Deserializer, Serializer, V2Serializer};
+use hdrhistogram::serialization::{DeserializeError, Deserializer, Serializer, V2Serializer};
 use serde::{Deserialize, Serialize};
+use snafu::{ResultExt, Snafu};
 
 use crate::router::intent::Objective;
 use crate::router::request::{Reason, Verdict};
@@ -82,20 +83,39 @@
     Histogram::new_with_max(LATENCY_MAX, DIGITS).expect("the bounds are constant")
 }
 
-/// Reads a histogram as series carry it; an unreadable one counts as empty.
-pub fn decode(text: &str) -> Histogram<u64> {
-    let bytes = STANDARD.decode(text).unwrap_or_default();
-    let mut bytes = bytes.as_slice();
-    Deserializer::new()
-        .deserialize(&mut bytes)
-        .unwrap_or_else(|_| histogram())
+/// A histogram that cannot be read.
+#[derive(Debug, Snafu)]
+pub enum Unreadable {
+    /// It is not base64.
+    #[snafu(display("{source}"))]
+    Text {
+        /// Where.
+        source: base64::DecodeError,
+    },
+    /// It is not of its library's V2 form.
+    #[snafu(display("{error}"))]
+    Form {
+        /// What is wrong.
+        error: DeserializeError,
+    },
+}
+
+/// Reads a histogram as series carry it.
+///
+/// # Errors
+/// What is wrong with it.
+pub fn decode(text: &str) -> Result<Histogram<u64>, Unreadable> {
+    let bytes = STANDARD.decode(text).context(TextSnafu)?;
+    let histogram = Deserializer::new().deserialize(&mut bytes.as_slice());
+    histogram.map_err(|error| Unreadable::Form { error })
 }
 
 /// Writes a histogram as series carry it.
 pub fn encode(histogram: &Histogram<u64>) -> String {
     let mut bytes = Vec::new();
-    let written = V2Serializer::new().serialize(histogram, &mut bytes);
-    debug_assert!(written.is_ok());
+    V2Serializer::new()
+        .serialize(histogram, &mut bytes)
+        .expect("a vector takes all that is written");
     STANDARD.encode(bytes)
 }
 
--- a/src/router/report/watch.rs
+++ b/src/router/report/watch.rs
@@ -29,6 +29,7 @@
     /// A frame came this long after the request; the gap since the last is returned.
     pub fn frame(&self, at: u64) -> Option<u64> {
         self.frames.fetch_add(1, Ordering::Relaxed);
+        // Only the first frame's time stays.
         let _ = self
             .first_ms
             .compare_exchange(NEVER, at, Ordering::Relaxed, Ordering::Relaxed);
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -107,6 +107,7 @@
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&token);
         if let Some(waiting) = waiting {
+            // Whoever asked has left.
             let _ = waiting.send(action);
         }
     }
--- a/src/wire/client.rs
+++ b/src/wire/client.rs
@@ -135,7 +135,10 @@
             .handshake(stream)
             .await?;
         tokio::spawn(async move {
-            let _ = connection.await;
+            if let Err(error) = connection.await {
+                // Calls under way fail with an error of their own.
+                tracing::debug!(event = "peer_connection_ended", %to, %error);
+            }
         });
         *slot = Some(sender.clone());
         Ok(sender)
--- a/src/wire/server.rs
+++ b/src/wire/server.rs
@@ -52,7 +52,10 @@
     F: Fn(Q) -> A + Clone + Send + Sync + 'static,
     A: Future<Output = Option<R>> + Send + 'static,
 {
-    let _ = stream.set_nodelay(true);
+    if let Err(error) = stream.set_nodelay(true) {
+        // The connection still works, only slower.
+        tracing::debug!(event = "nodelay_failed", %error);
+    }
     let mut connection = h2::server::Builder::new()
         .initial_window_size(WINDOW)
         .initial_connection_window_size(WINDOW)
