--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -141,8 +141,15 @@
     let (streamed, model) = (call.stream, call.model.clone());
     let prompt = call.prompt();
     // A token is at least a byte, so this is the most that the prompt can come to.
-    let most = Tokens(prompt.len() as u64 + call.max_tokens);
-    let answer = submit(&shared, &caller, Work::Chat(call), &body, &model, most);
+    let max_tokens = Tokens(prompt.len() as u64 + call.max_tokens);
+    let answer = submit(
+        &shared,
+        &caller,
+        Work::Chat(call),
+        &body,
+        &model,
+        max_tokens,
+    );
     let answer = first_of(answer).await;
     if let Step::End(verdict) = answer.step(0).await {
         return reply::refused(caller.id, &verdict, &model);
@@ -186,7 +193,7 @@
     work: Work,
     body: &Bytes,
     serves: &str,
-    most: Tokens,
+    max_tokens: Tokens,
 ) -> Arc<Answer> {
     let mut hash = Xxh3::new();
     for part in [
@@ -216,7 +223,7 @@
         class: caller.class.clone(),
         kind,
         serves: serves.to_owned(),
-        most,
+        max_tokens,
         repeatable: caller.repeatable,
     };
     let answer = Arc::new(Answer::new(work, about));
--- a/src/router/budget/mod.rs
+++ b/src/router/budget/mod.rs
@@ -9,11 +9,11 @@
 mod demand;
 mod holder;
 mod ledger;
-mod pledge;
+mod reservation;
 mod witness;
 
 pub use demand::{Demand, Sizing};
 pub use holder::{Holder, Shortage};
 pub use ledger::{Budget, Grant, Ledger, PREPAID_MAX};
-pub use pledge::{Pledge, Price};
+pub use reservation::{Price, Reservation};
 pub use witness::{Answer, Replay, Resolved, State, Taken, Ward, Witness};
--- a/src/router/budget/pledge.rs
+++ b/src/router/budget/reservation.rs
@@ -18,7 +18,7 @@
 
 /// An open request as its witness knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Pledge {
+pub struct Reservation {
     /// The most that it can cost.
     pub reserved: Tokens,
     /// The id that its target is told.
@@ -29,7 +29,7 @@
     pub price: Price,
 }
 
-impl Pledge {
+impl Reservation {
     /// The bill for what the target says was used.
     pub fn bill(&self, used: Tokens) -> Tokens {
         match self.price {
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -9,7 +9,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::Pledge;
+use super::Reservation;
 use crate::router::key::{BudgetKey, Incarnation};
 use crate::router::log::{Closed, Open};
 use crate::router::request::{EPOCH_KEEP, Id, epoch_of};
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
     /// Dispatched, or about to be.
-    Open(Pledge),
+    Open(Reservation),
     /// Billed.
     Settled(Tokens),
     /// Another router runs it.
@@ -87,13 +87,13 @@
     /// A holder's books, for a new witness: totals, open requests, settled requests.
     pub fn new(
         totals: &[(BudgetKey, Tokens)],
-        open: &[(BudgetKey, u64, Pledge)],
+        open: &[(BudgetKey, u64, Reservation)],
         settled: &[(BudgetKey, u64, Tokens)],
         epoch: u32,
     ) -> Self {
         let open = open
             .iter()
-            .map(|(key, nonce, pledge)| (*nonce, (*key, State::Open(*pledge))));
+            .map(|(key, nonce, reservation)| (*nonce, (*key, State::Open(*reservation))));
         let settled = settled
             .iter()
             .map(|(key, nonce, billed)| (*nonce, (*key, State::Settled(*billed))));
@@ -116,10 +116,10 @@
             entry.settled = *settled;
         }
         for (nonce, (budget, state)) in &self.entries {
-            if let State::Open(pledge) = *state {
+            if let State::Open(reservation) = *state {
                 let entry = budgets.entry(*budget).or_insert_with(|| blank(*budget));
                 let nonce = *nonce;
-                let reserved = pledge.reserved;
+                let reserved = reservation.reserved;
                 entry.open.push(Open { nonce, reserved });
             }
         }
@@ -195,7 +195,13 @@
     }
 
     /// The holder is about to dispatch a request.
-    pub fn open(&mut self, now: Millis, id: Id, budget: BudgetKey, pledge: Pledge) -> Answer {
+    pub fn open(
+        &mut self,
+        now: Millis,
+        id: Id,
+        budget: BudgetKey,
+        reservation: Reservation,
+    ) -> Answer {
         let Some(held) = self.wards.get_mut(&id.incarnation) else {
             return Answer::Unknown;
         };
@@ -205,10 +211,10 @@
         held.heard = now;
         held.ward.epoch = held.ward.epoch.max(id.epoch());
         let entry = held.ward.entries.entry(id.nonce);
-        let (_, state) = entry.or_insert((budget, State::Open(pledge)));
+        let (_, state) = entry.or_insert((budget, State::Open(reservation)));
         // Another dispatch of it may go elsewhere; what is settled stays settled.
         if let State::Open(known) = state {
-            *known = pledge;
+            *known = reservation;
         }
         Answer::Noted
     }
@@ -370,14 +376,14 @@
     }
 
     /// Requests of closed holders that are still open: ask their targets.
-    pub fn doubtful(&self) -> Vec<(Id, Pledge)> {
+    pub fn doubtful(&self) -> Vec<(Id, Reservation)> {
         let closed = self.wards.iter().filter(|(_, held)| held.closed.is_some());
         let entries = closed.flat_map(|(holder, held)| {
             let entries = held.ward.entries.iter();
             entries.map(|(nonce, (_, state))| (*holder, *nonce, *state))
         });
         let open = entries.filter_map(|(incarnation, nonce, state)| match state {
-            State::Open(pledge) => Some((Id { incarnation, nonce }, pledge)),
+            State::Open(reservation) => Some((Id { incarnation, nonce }, reservation)),
             State::Settled(_) | State::Taken(_) => None,
         });
         open.collect()
@@ -389,8 +395,8 @@
         let Some(held) = held.filter(|held| held.closed.is_some()) else {
             return;
         };
-        if let Some((_, State::Open(pledge))) = held.ward.entries.get(&id.nonce) {
-            let (heard, billed) = (held.heard, pledge.bill(used));
+        if let Some((_, State::Open(reservation))) = held.ward.entries.get(&id.nonce) {
+            let (heard, billed) = (held.heard, reservation.bill(used));
             self.settle(heard, id, Some(billed));
         }
     }
--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -40,7 +40,7 @@
     /// The model or service.
     pub serves: String,
     /// The most tokens that it can use, before the price; 0 for a service.
-    pub most: Tokens,
+    pub max_tokens: Tokens,
     /// Whether it may run twice.
     pub repeatable: bool,
 }
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// The whole answer is here.
-    Whole {
+    Complete {
         /// Tokens used, before the price.
         used: Tokens,
         /// Time to the last.
@@ -148,7 +148,7 @@
         customer: String,
     },
     /// A target has told that a request in doubt is done.
-    Told {
+    Fate {
         /// The request in its holder's books.
         id: Id,
         /// Tokens used, before the price.
@@ -192,7 +192,7 @@
     },
     /// Answers that need not be kept any more.
     Forget(Vec<Ticket>),
-    /// Ask a target what became of a request in doubt.
+    /// Notice a target what became of a request in doubt.
     Inquire {
         /// The request in its holder's books.
         id: Id,
@@ -208,7 +208,7 @@
         /// The batch.
         batch: Batch,
     },
-    /// Ask a peer.
+    /// Notice a peer.
     Call {
         /// The call.
         call: Call,
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -62,8 +62,8 @@
         let class = config.class(&spec.class).ok_or(Reason::Unknown)?;
         let (rank, patience, price_permille) = (class.rank, class.patience, class.price_permille);
         let budget = self.find_budget(&spec)?;
-        let most = match spec.kind {
-            Kind::Engine => spec.most,
+        let max_tokens = match spec.kind {
+            Kind::Engine => spec.max_tokens,
             Kind::Service => self.call_price(&spec.serves),
         };
         Ok(Job {
@@ -74,7 +74,7 @@
             arrived: self.now,
             budget,
             nonce: spec.id.nonce,
-            most,
+            max_tokens,
             paid: None,
             doubted: false,
             seen: None,
@@ -122,17 +122,17 @@
         job.stage = Stage::Waiting;
         let ticket = job.spec.ticket;
         let customer = job.spec.customer.clone();
-        let most = self
+        let limit = self
             .config()
             .customer(&customer)
             .map_or(0, |c| c.concurrency);
         let busy = self.busy.entry(customer).or_default();
         *busy += 1;
-        let too_many = *busy > most;
+        let too_many = *busy > limit;
         self.table.insert(job.spec.id, ticket, job.spec.fingerprint);
         let unserved = self.unserved(job.spec.kind, &job.spec.serves);
         self.holder
-            .note_demand(self.now, job.budget, job.reservation());
+            .note_demand(self.now, job.budget, job.max_cost());
         self.jobs.insert(ticket, job);
         if self.stopping {
             self.refuse(ticket, Reason::Stopping);
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -4,7 +4,7 @@
 use super::{Action, End, State};
 use crate::ejection::Outcome;
 use crate::router::intent::Kind;
-use crate::router::message::Ask;
+use crate::router::message::Notice;
 use crate::router::pool::{Choice, Want};
 use crate::router::request::{Id, Reason, Ticket, Verdict, Waiting};
 use crate::units::{Millis, Tokens};
@@ -111,7 +111,7 @@
         let Some(job) = self.jobs.get(&ticket) else {
             return Start::Started;
         };
-        let (key, nonce, amount) = (job.budget, job.nonce, job.reservation());
+        let (key, nonce, amount) = (job.budget, job.nonce, job.max_cost());
         let grant = self.grant(key);
         let short = amount.saturating_sub(self.holder.free(key, grant));
         if short > Tokens::ZERO {
@@ -191,12 +191,12 @@
             return;
         };
         let outcome = match end {
-            End::Whole { whole, .. } => Outcome::Answered { took: whole },
+            End::Complete { whole, .. } => Outcome::Answered { took: whole },
             End::Unsent | End::Refused | End::Broken { .. } => Outcome::Failed,
         };
         self.pool.finished(self.now, choice.target, Some(outcome));
         match end {
-            End::Whole { used, .. } => {
+            End::Complete { used, .. } => {
                 self.retries = (self.retries + RETRY_SHARE).min(RETRIES_MAX);
                 self.settle_whole(ticket, used);
             }
@@ -265,7 +265,7 @@
         };
         let cost = job.cost(used);
         if job.holder != self.incarnation() {
-            let billed = cost.min(job.reservation());
+            let billed = cost.min(job.max_cost());
             self.settle_late(&job, billed, verdict(billed));
             return;
         }
@@ -325,7 +325,7 @@
         };
         let nonce = job.nonce;
         self.settling.insert(nonce, settling);
-        self.tell_witnesses(&Ask::Settle { nonce, billed });
+        self.tell_witnesses(&Notice::Settle { nonce, billed });
         self.try_vouch(nonce);
     }
 
@@ -343,7 +343,7 @@
             verdict: Some((job.spec.ticket, verdict)),
         };
         self.late.insert(id, settling);
-        let ask = Ask::Settle {
+        let ask = Notice::Settle {
             nonce: job.nonce,
             billed: Some(billed),
         };
--- a/src/router/control/job.rs
+++ b/src/router/control/job.rs
@@ -1,9 +1,9 @@
 //! One request on its way.
 
-use crate::router::budget::{Pledge, Price};
+use crate::router::budget::{Price, Reservation};
 use crate::router::intent::Kind;
 use crate::router::key::{BudgetKey, Incarnation};
-use crate::router::message::Ask;
+use crate::router::message::Notice;
 use crate::router::pool::{Choice, TargetKey};
 use crate::router::request::{Ticket, Verdict};
 use crate::units::{Millis, Tokens};
@@ -36,7 +36,7 @@
     /// Its number in this router's own books; differs from the caller's in a takeover.
     pub nonce: u64,
     /// The most tokens that it can use, before the price.
-    pub most: Tokens,
+    pub max_tokens: Tokens,
     /// What it was billed elsewhere already; it costs nothing more here.
     pub paid: Option<Tokens>,
     /// Whether it may have run before it came here, so that "not run" must not be said of it.
@@ -57,11 +57,11 @@
 
 impl Job {
     /// The most that it can cost.
-    pub fn reservation(&self) -> Tokens {
+    pub fn max_cost(&self) -> Tokens {
         if self.paid.is_some() {
             return Tokens::ZERO;
         }
-        self.priced(self.most)
+        self.priced(self.max_tokens)
     }
 
     /// A cost at the job's price.
@@ -74,18 +74,18 @@
         match self.spec.kind {
             _ if self.paid.is_some() => Tokens::ZERO,
             Kind::Engine => self.priced(used),
-            Kind::Service => self.priced(self.most),
+            Kind::Service => self.priced(self.max_tokens),
         }
     }
 
     /// What its witness has to know, once it has a target.
-    pub fn pledge(&self) -> Option<Pledge> {
+    pub fn reservation(&self) -> Option<Reservation> {
         let price = match self.spec.kind {
             Kind::Engine => Price::Permille(self.price_permille),
             Kind::Service => Price::Whole,
         };
-        Some(Pledge {
-            reserved: self.reservation(),
+        Some(Reservation {
+            reserved: self.max_cost(),
             request: self.spec.id,
             target: self.choice?.address,
             price,
@@ -93,11 +93,11 @@
     }
 
     /// What opens it at its witness.
-    pub fn open_ask(&self) -> Option<Ask> {
-        Some(Ask::Open {
+    pub fn open_ask(&self) -> Option<Notice> {
+        Some(Notice::Open {
             nonce: self.nonce,
             budget: self.budget,
-            pledge: self.pledge()?,
+            reservation: self.reservation()?,
         })
     }
 }
--- a/src/router/control/link.rs
+++ b/src/router/control/link.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 
 use crate::router::key::Incarnation;
-use crate::router::message::{Ask, Request};
+use crate::router::message::{Notice, Request};
 use crate::units::Millis;
 
 use super::Call;
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug)]
 struct Flight {
     call: Call,
-    asks: Vec<Ask>,
+    asks: Vec<Notice>,
     since: Millis,
 }
 
@@ -26,7 +26,7 @@
     holder: Incarnation,
     to: Incarnation,
     seq: u64,
-    outbox: VecDeque<Ask>,
+    outbox: VecDeque<Notice>,
     flight: Option<Flight>,
     /// When the last call that was answered had been sent.
     pub heard: Millis,
@@ -58,7 +58,7 @@
     }
 
     /// Queues an ask.
-    pub fn push(&mut self, ask: Ask) {
+    pub fn push(&mut self, ask: Notice) {
         self.outbox.push_back(ask);
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// Whether this reply is to the call under way; its asks are then taken out.
-    pub fn answered(&mut self, call: Call) -> Option<Vec<Ask>> {
+    pub fn answered(&mut self, call: Call) -> Option<Vec<Notice>> {
         if self.flight.as_ref()?.call != call {
             return None;
         }
--- a/src/router/control/mod.rs
+++ b/src/router/control/mod.rs
@@ -15,7 +15,7 @@
 mod peers;
 mod state;
 mod streams;
-mod vouch;
+mod witnesses;
 
 pub use action::{Action, Call, End, Input, Spec, Status, StatusBudget, StatusPeer, Token};
 pub use state::{Settings, State};
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -98,7 +98,7 @@
             self.refuse(waiting.ticket, crate::router::request::Reason::Stopping);
         }
         self.last_beat = Millis::ZERO;
-        self.beat();
+        self.send_heartbeats();
     }
 
     /// Ends the process once nothing is in progress and the log has its books.
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -7,7 +7,7 @@
 use crate::router::host::Peer;
 use crate::router::key::{Incarnation, SHARDS, Stream};
 use crate::router::log::Record;
-use crate::router::message::{Ask, Reply, Request};
+use crate::router::message::{Notice, Reply, Request};
 use crate::router::request::{EPOCH_KEEP, Id, Prefix};
 use crate::units::{Millis, Tokens};
 
@@ -27,7 +27,7 @@
 const STATE_EVERY: Millis = Millis(1_000);
 
 impl State {
-    pub(super) fn beat(&mut self) {
+    pub(super) fn send_heartbeats(&mut self) {
         if self.now < self.last_beat + BEAT_EVERY && self.last_beat > Millis::ZERO {
             return;
         }
@@ -41,7 +41,7 @@
         me.leaving = leaving;
         for to in self.membership.round(self.now, &mut self.rng) {
             let peers = self.membership.tell(self.now, &mut self.rng);
-            self.call(to, Asked::Beat, Request::Beat { peers });
+            self.call(to, Asked::Heartbeat, Request::Heartbeat { peers });
         }
         self.ask_for_state();
     }
@@ -66,10 +66,10 @@
     pub(super) fn asked(&mut self, token: Token, request: Request) {
         let me = self.incarnation();
         let reply = match request {
-            Request::Beat { peers } => {
+            Request::Heartbeat { peers } => {
                 self.hear(&peers);
                 let peers = self.membership.tell(self.now, &mut self.rng);
-                Reply::Beat { peers }
+                Reply::Heartbeat { peers }
             }
             Request::Ward { to, .. } | Request::Take { to, .. } if to != me => Reply::Gone,
             Request::Ward {
@@ -125,8 +125,8 @@
             return;
         };
         match (asked, reply) {
-            (Asked::Beat, Some(Reply::Beat { peers })) => self.hear(&peers),
-            (Asked::Beat, _) => {}
+            (Asked::Heartbeat, Some(Reply::Heartbeat { peers })) => self.hear(&peers),
+            (Asked::Heartbeat, _) => {}
             (Asked::Ward(key), reply) => self.witness_replied(key, call, reply),
             (Asked::Take(ticket), Some(Reply::Taken(taken))) => self.judged(ticket, taken),
             (Asked::Take(ticket), _) => self.judged(ticket, Taken::Unknown),
@@ -137,7 +137,7 @@
         }
     }
 
-    fn answer_ward(&mut self, holder: Incarnation, seq: u64, asks: Vec<Ask>) -> Vec<Answer> {
+    fn answer_ward(&mut self, holder: Incarnation, seq: u64, asks: Vec<Notice>) -> Vec<Answer> {
         match self.witness.replay(holder, seq) {
             Replay::Again(answers) => answers,
             Replay::Stale => Vec::new(),
@@ -152,21 +152,21 @@
         }
     }
 
-    fn answer_ask(&mut self, holder: Incarnation, ask: Ask) -> Answer {
+    fn answer_ask(&mut self, holder: Incarnation, ask: Notice) -> Answer {
         let now = self.now;
         let id = |nonce| Id {
             incarnation: holder,
             nonce,
         };
         match ask {
-            Ask::Adopt(ward) => self.witness.adopt(now, holder, ward),
-            Ask::Open {
+            Notice::Adopt(ward) => self.witness.adopt(now, holder, ward),
+            Notice::Open {
                 nonce,
                 budget,
-                pledge,
-            } => self.witness.open(now, id(nonce), budget, pledge),
-            Ask::Settle { nonce, billed } => self.witness.settle(now, id(nonce), billed),
-            Ask::Heard { epoch } => self.witness.heard(now, holder, epoch),
+                reservation,
+            } => self.witness.open(now, id(nonce), budget, reservation),
+            Notice::Settle { nonce, billed } => self.witness.settle(now, id(nonce), billed),
+            Notice::Heard { epoch } => self.witness.heard(now, holder, epoch),
         }
     }
 
@@ -216,17 +216,17 @@
             return;
         }
         self.last_inquiry = self.now;
-        for (id, pledge) in self.witness.doubtful().into_iter().take(INQUIRIES) {
+        for (id, reservation) in self.witness.doubtful().into_iter().take(INQUIRIES) {
             self.out.push(Action::Inquire {
                 id,
-                request: pledge.request,
-                target: pledge.target,
+                request: reservation.request,
+                target: reservation.target,
             });
         }
     }
 
     /// A target has told that a request of a closed ward is done.
-    pub(super) fn told(&mut self, id: Id, used: Tokens) {
+    pub(super) fn take_fate(&mut self, id: Id, used: Tokens) {
         self.witness.told(id, used);
         self.write_closes();
     }
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -75,7 +75,7 @@
 /// What a call of ours was about.
 #[derive(Clone, Debug)]
 pub(super) enum Asked {
-    Beat,
+    Heartbeat,
     Ward(LinkKey),
     Take(Ticket),
     State(Stream),
@@ -229,7 +229,7 @@
             Input::Confirm { token, plan } => self.confirm(token, plan),
             Input::Status { token } => self.status(token),
             Input::Entry { token, customer } => self.entry(token, &customer),
-            Input::Told { id, used } => self.told(id, used),
+            Input::Fate { id, used } => self.take_fate(id, used),
             Input::Tick => self.tick(),
             Input::Stop => self.stop(),
         }
@@ -245,7 +245,7 @@
         self.keep_books();
         self.expire_confirms();
         self.write_checkpoints();
-        self.beat();
+        self.send_heartbeats();
         self.prune();
         self.pump();
         self.finish_stop();
--- a/src/router/control/vouch.rs
+++ b/src/router/control/witnesses.rs
@@ -9,7 +9,7 @@
 use crate::router::budget::{Answer, Holder, Ward};
 use crate::router::key::{Incarnation, SHARDS, Stream};
 use crate::router::log::{Record, Writer};
-use crate::router::message::{Ask, Reply};
+use crate::router::message::{Notice, Reply};
 use crate::router::request::{Id, Ticket, Verdict};
 use crate::units::{Millis, Tokens};
 
@@ -55,7 +55,7 @@
         !self.left && links.all(|(_, link)| self.now <= link.heard + bound)
     }
 
-    pub(super) fn tell_witnesses(&mut self, ask: &Ask) {
+    pub(super) fn tell_witnesses(&mut self, ask: &Notice) {
         let me = self.incarnation();
         for ((holder, _), link) in &mut self.links {
             if *holder == me {
@@ -96,7 +96,7 @@
         if let Some(witness) = chosen {
             self.link_count += 1;
             let mut link = Link::new(self.now, me, witness, self.link_count);
-            link.push(Ask::Adopt(self.books()));
+            link.push(Notice::Adopt(self.books()));
             link.open = self.by_nonce.keys().copied().collect();
             link.settled = self.settling.keys().copied().collect();
             self.links.insert((me, witness), link);
@@ -112,7 +112,7 @@
             .filter_map(|ticket| self.jobs.get(ticket));
         let open: Vec<_> = ours
             .filter(|job| job.holder == me)
-            .filter_map(|job| Some((job.budget, job.nonce, job.pledge()?)))
+            .filter_map(|job| Some((job.budget, job.nonce, job.reservation()?)))
             .collect();
         let (totals, settled) = (self.holder.totals(), self.holder.settled());
         Ward::new(&totals, &open, &settled, self.epoch())
@@ -215,14 +215,14 @@
         }
     }
 
-    fn witness_answered(&mut self, key: LinkKey, ask: &Ask, answer: Answer) {
+    fn witness_answered(&mut self, key: LinkKey, ask: &Notice, answer: Answer) {
         let (holder, witness) = key;
         let closed = matches!(answer, Answer::Closed { .. });
         if closed && holder == self.incarnation() {
             self.reborn();
         }
         if holder != self.incarnation() {
-            if let Ask::Settle { nonce, .. } = ask {
+            if let Notice::Settle { nonce, .. } = ask {
                 let (incarnation, nonce) = (holder, *nonce);
                 self.late_answered(Id { incarnation, nonce }, answer);
             }
@@ -233,15 +233,15 @@
             return;
         }
         match ask {
-            Ask::Adopt(_) => self.adopted(key),
-            Ask::Open { nonce, .. } => self.witness_has_open(witness, *nonce),
-            Ask::Settle { nonce, .. } => {
+            Notice::Adopt(_) => self.adopted(key),
+            Notice::Open { nonce, .. } => self.witness_has_open(witness, *nonce),
+            Notice::Settle { nonce, .. } => {
                 if let Some(settling) = self.settling.get_mut(nonce) {
                     settling.acked.push(witness);
                 }
                 self.try_vouch(*nonce);
             }
-            Ask::Heard { .. } => {}
+            Notice::Heard { .. } => {}
         }
     }
 
@@ -381,7 +381,7 @@
         let epoch = self.epoch();
         for link in self.links.values_mut() {
             if link.is_idle() {
-                link.push(Ask::Heard { epoch });
+                link.push(Notice::Heard { epoch });
             }
         }
     }
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -9,7 +9,7 @@
 use crate::router::client::Log;
 use crate::router::control::{Action, Input};
 use crate::router::http::answer::{Answer, Work};
-use crate::router::http::relay::{Order, Relay};
+use crate::router::http::relay::{Dispatch, Relay};
 use crate::router::report::Key;
 use crate::router::request::{Ticket, Verdict};
 use crate::units::Tokens;
@@ -43,13 +43,13 @@
                 choice,
                 rank,
             } => {
-                let order = Order {
+                let dispatch = Dispatch {
                     id,
                     attempt,
                     choice,
                     rank,
                 };
-                self.dispatch(ticket, order);
+                self.dispatch(ticket, dispatch);
             }
             Action::Finish { ticket, verdict } => self.finish(ticket, verdict),
             Action::Join { ticket, to } => self.join(ticket, to),
@@ -68,7 +68,7 @@
                     let fate = relay.fate(target, request).await;
                     if let Some(fate) = fate.filter(|fate| fate.ran && fate.done) {
                         let used = Tokens(fate.used);
-                        shared.tell(Input::Told { id, used });
+                        shared.tell(Input::Fate { id, used });
                     }
                 });
             }
@@ -113,24 +113,24 @@
         });
     }
 
-    fn dispatch(&self, ticket: Ticket, order: Order) {
+    fn dispatch(&self, ticket: Ticket, dispatch: Dispatch) {
         let Some(answer) = self.shared.answers.get(ticket) else {
             return;
         };
-        let target = order.choice.address;
+        let target = dispatch.choice.address;
         let what = format!(
             "dispatch {} to {target}, fence {}",
-            order.attempt, order.choice.fence
+            dispatch.attempt, dispatch.choice.fence
         );
-        self.shared.trail.note(order.id, what);
-        tracing::debug!(event = "dispatched", request = %order.id, %target, attempt = order.attempt);
+        self.shared.trail.note(dispatch.id, what);
+        tracing::debug!(event = "dispatched", request = %dispatch.id, %target, attempt = dispatch.attempt);
         let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
             shared.note_active(target);
-            let end = run(&relay, &shared, &answer, order).await;
+            let end = run(&relay, &shared, &answer, dispatch).await;
             shared.trail.note(
-                order.id,
-                format!("attempt {} ended: {end:?}", order.attempt),
+                dispatch.id,
+                format!("attempt {} ended: {end:?}", dispatch.attempt),
             );
             shared.tell(Input::Ended { ticket, end });
         });
@@ -202,7 +202,7 @@
     relay: &Relay,
     shared: &Shared,
     answer: &Answer,
-    order: Order,
+    dispatch: Dispatch,
 ) -> crate::router::control::End {
     let key = key(answer);
     let seen = |_index| {
@@ -211,7 +211,7 @@
             shared.metrics.note_gap(&key, gap);
         }
     };
-    let end = relay.run(answer, order, seen).await;
+    let end = relay.run(answer, dispatch, seen).await;
     if matches!(answer.work, Work::Service(_)) {
         seen(0);
     }
--- a/src/router/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -40,7 +40,7 @@
 
 /// The answer of a service.
 #[derive(Clone, Debug)]
-pub struct Whole {
+pub struct Body {
     /// Its status.
     pub status: StatusCode,
     /// Its body.
@@ -59,7 +59,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     frames: Vec<Arc<Frame>>,
-    whole: Option<Whole>,
+    whole: Option<Body>,
     verdict: Option<Verdict>,
     joined: Option<Arc<Answer>>,
     shown: bool,
@@ -105,8 +105,8 @@
     }
 
     /// Sets a service's answer.
-    pub fn set_whole(&self, whole: Whole) {
-        self.change(|inner| inner.whole = Some(whole));
+    pub fn set_whole(&self, body: Body) {
+        self.change(|inner| inner.whole = Some(body));
     }
 
     /// Ends the answer.
@@ -137,7 +137,7 @@
     }
 
     /// A service's answer.
-    pub fn whole(&self) -> Option<Whole> {
+    pub fn whole(&self) -> Option<Body> {
         self.lock().whole.clone()
     }
 
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -13,7 +13,7 @@
 use volo_http::error::client::ErrorKind;
 use volo_http::response::Response;
 
-use super::answer::{Answer, Whole, Work};
+use super::answer::{self, Answer, Work};
 use super::chat::Frame;
 use super::{ATTEMPT, FENCE, RANK, REQUEST_ID, VERDICT};
 use crate::router::control::End;
@@ -46,7 +46,7 @@
 
 /// One dispatch.
 #[derive(Clone, Copy, Debug)]
-pub struct Order {
+pub struct Dispatch {
     /// The request.
     pub id: Id,
     /// Which dispatch of it this is.
@@ -119,15 +119,15 @@
 
     /// Sends a request and takes its answer in. `seen` is told the time since the arrival of each
     /// frame that counts.
-    pub async fn run(&self, answer: &Answer, order: Order, seen: impl Fn(u64)) -> End {
+    pub async fn run(&self, answer: &Answer, dispatch: Dispatch, seen: impl Fn(u64)) -> End {
         match &answer.work {
             Work::Chat(call) => {
                 let mut call = call.clone();
                 call.stream = true;
                 let body = serde_json::to_vec(&call).expect("a call is plain data");
-                self.chat(answer, order, body, seen).await
+                self.chat(answer, dispatch, body, seen).await
             }
-            Work::Service(body) => self.service(answer, order, body.to_vec()).await,
+            Work::Service(body) => self.service(answer, dispatch, body.to_vec()).await,
         }
     }
 
@@ -135,17 +135,17 @@
         &self,
         path: &str,
         repeatable: bool,
-        order: Order,
+        dispatch: Dispatch,
         body: Vec<u8>,
     ) -> Result<Response, End> {
         let client = if repeatable { &self.kept } else { &self.single };
         let request = client
-            .post(format!("http://{}{path}", order.choice.address))
+            .post(format!("http://{}{path}", dispatch.choice.address))
             .header(http::header::CONTENT_TYPE, "application/json")
-            .header(REQUEST_ID, order.id.to_string())
-            .header(ATTEMPT, order.attempt.to_string())
-            .header(FENCE, order.choice.fence.to_string())
-            .header(RANK, order.rank.to_string())
+            .header(REQUEST_ID, dispatch.id.to_string())
+            .header(ATTEMPT, dispatch.attempt.to_string())
+            .header(FENCE, dispatch.choice.fence.to_string())
+            .header(RANK, dispatch.rank.to_string())
             .data(body);
         let sent = tokio::time::timeout(self.silence, request.send()).await;
         let broken = End::Broken {
@@ -168,21 +168,21 @@
         Ok(response)
     }
 
-    async fn service(&self, answer: &Answer, order: Order, body: Vec<u8>) -> End {
+    async fn service(&self, answer: &Answer, dispatch: Dispatch, body: Vec<u8>) -> End {
         let start = Instant::now();
         let broken = End::Broken {
             used: Tokens::ZERO,
             shown: false,
         };
         let sent = self
-            .send("/call", answer.about.repeatable, order, body)
+            .send("/call", answer.about.repeatable, dispatch, body)
             .await;
         let response = match sent {
             Ok(response) => response,
             Err(end) => return end,
         };
         let status = response.status();
-        let id = order.id.to_string();
+        let id = dispatch.id.to_string();
         let ours = response
             .headers()
             .get(REQUEST_ID)
@@ -194,14 +194,20 @@
         let Ok(Ok(body)) = body else {
             return broken;
         };
-        answer.set_whole(Whole { status, body });
-        End::Whole {
+        answer.set_whole(answer::Body { status, body });
+        End::Complete {
             used: Tokens::ZERO,
             whole: millis(start),
         }
     }
 
-    async fn chat(&self, answer: &Answer, order: Order, body: Vec<u8>, seen: impl Fn(u64)) -> End {
+    async fn chat(
+        &self,
+        answer: &Answer,
+        dispatch: Dispatch,
+        body: Vec<u8>,
+        seen: impl Fn(u64),
+    ) -> End {
         let start = Instant::now();
         let mut progress = Progress {
             next: 0,
@@ -209,7 +215,9 @@
             dropped: 0,
         };
         let path = "/v1/chat/completions";
-        let sent = self.send(path, answer.about.repeatable, order, body).await;
+        let sent = self
+            .send(path, answer.about.repeatable, dispatch, body)
+            .await;
         let mut response = match sent {
             Ok(response) => Some(response),
             Err(end) => return end,
@@ -219,9 +227,11 @@
             let before = progress.next;
             if let Some(stream) = response.take()
                 && let Ok(reader) = stream.into_sse()
-                && let Read::Whole = self.read(answer, order, reader, &mut progress, &seen).await
+                && let Read::Whole = self
+                    .read(answer, dispatch, reader, &mut progress, &seen)
+                    .await
             {
-                return End::Whole {
+                return End::Complete {
                     used: Tokens(progress.used),
                     whole: millis(start),
                 };
@@ -231,7 +241,7 @@
                 break;
             }
             tokio::time::sleep(resume_wait(idle)).await;
-            match self.resume(order, progress.next).await {
+            match self.resume(dispatch, progress.next).await {
                 Resumed::Stream(stream) => response = Some(stream),
                 Resumed::Unknown => break,
                 Resumed::Unreachable => {}
@@ -244,17 +254,17 @@
         }
     }
 
-    /// Takes frames in order; one of another request, of another attempt, or seen before is
+    /// Takes frames in dispatch; one of another request, of another attempt, or seen before is
     /// dropped, and a gap ends the reading, to be resumed from there.
     async fn read(
         &self,
         answer: &Answer,
-        order: Order,
+        dispatch: Dispatch,
         mut reader: SseReader<Body>,
         progress: &mut Progress,
         seen: &impl Fn(u64),
     ) -> Read {
-        let id = order.id.to_string();
+        let id = dispatch.id.to_string();
         loop {
             let event = tokio::time::timeout(self.silence, reader.read()).await;
             let Ok(Ok(Some(event))) = event else {
@@ -265,7 +275,7 @@
             let Ok(frame) = serde_json::from_str::<Frame>(data) else {
                 return Read::Broken;
             };
-            if frame.id != id || frame.attempt != order.attempt || frame.index < progress.next {
+            if frame.id != id || frame.attempt != dispatch.attempt || frame.index < progress.next {
                 progress.dropped += 1;
                 tracing::info!(event = "frame_dropped", request = %id, got = %frame.id, index = frame.index);
                 continue;
@@ -287,9 +297,9 @@
         }
     }
 
-    async fn resume(&self, order: Order, from: u64) -> Resumed {
-        let address = order.choice.address;
-        let uri = format!("http://{address}/v1/requests/{}/stream/{from}", order.id);
+    async fn resume(&self, dispatch: Dispatch, from: u64) -> Resumed {
+        let address = dispatch.choice.address;
+        let uri = format!("http://{address}/v1/requests/{}/stream/{from}", dispatch.id);
         // Kept connections may have been cut with this one, and each try would find another of them.
         let sent = tokio::time::timeout(self.silence, self.single.get(uri).send()).await;
         let (resumed, outcome) = match sent {
@@ -300,7 +310,7 @@
             Ok(Err(error)) => (Resumed::Unreachable, error.to_string()),
             Err(_) => (Resumed::Unreachable, "silent".to_owned()),
         };
-        tracing::info!(event = "stream_resumed", request = %order.id, %address, from, outcome);
+        tracing::info!(event = "stream_resumed", request = %dispatch.id, %address, from, outcome);
         resumed
     }
 
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::router::budget::{Answer, Pledge, Taken, Ward};
+use crate::router::budget::{Answer, Reservation, Taken, Ward};
 use crate::router::host::Peer;
 use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::router::log::Checkpoint;
@@ -11,7 +11,7 @@
 
 /// What a holder asks of its witness.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum Notice {
     /// Be my witness; these are my books.
     Adopt(Ward),
     /// I am about to dispatch a request.
@@ -21,7 +21,7 @@
         /// The budget that pays.
         budget: BudgetKey,
         /// What may be billed, and where it goes.
-        pledge: Pledge,
+        reservation: Reservation,
     },
     /// A request is billed, or was never dispatched.
     Settle {
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
     /// A heartbeat round: the sender first, then others that it knows of.
-    Beat {
+    Heartbeat {
         /// What is told.
         peers: Vec<Peer>,
     },
@@ -55,7 +55,7 @@
         /// One more than the last; the upper half counts the holder's links.
         seq: u64,
         /// In order.
-        asks: Vec<Ask>,
+        asks: Vec<Notice>,
     },
     /// May I run this request of a lost holder of yours?
     Take {
@@ -81,7 +81,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
     /// To a heartbeat: the same in return.
-    Beat {
+    Heartbeat {
         /// What is told.
         peers: Vec<Peer>,
     },
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -150,7 +150,7 @@
     pub fn arrive(&self, spec: Spec, answer: Arc<Answer>) {
         let what = format!(
             "arrived: {} of class {}, paid by {}, at most {} tokens before the price",
-            spec.serves, spec.class, spec.budget, spec.most
+            spec.serves, spec.class, spec.budget, spec.max_tokens
         );
         self.trail.note(spec.id, what);
         self.answers.insert(spec.ticket, answer);
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -34,7 +34,7 @@
     Poll(usize, u64),
     ToNode(usize, u64, Input),
     Append(usize, u64, Stream, Batch),
-    Ask(usize, u64, Call, SocketAddr, Request),
+    Notice(usize, u64, Call, SocketAddr, Request),
     Answer(usize, u64, Call, Option<Reply>),
     Arrive(usize),
     Start(usize),
@@ -229,7 +229,7 @@
             Event::Poll(node, life) => self.poll(node, life),
             Event::ToNode(node, _, input) => self.tell(node, input),
             Event::Append(node, life, stream, batch) => self.append(node, life, stream, batch),
-            Event::Ask(from, life, call, to, request) => self.ask(from, life, call, to, request),
+            Event::Notice(from, life, call, to, request) => self.ask(from, life, call, to, request),
             Event::Answer(node, life, call, reply) => {
                 self.after(0, Event::ToNode(node, life, Input::Replied { call, reply }));
             }
@@ -379,10 +379,10 @@
                 }
                 if self.chance(0.02, "call repeated") {
                     let lag = self.lag() + 50;
-                    self.after(lag, Event::Ask(node, life, call, to, request.clone()));
+                    self.after(lag, Event::Notice(node, life, call, to, request.clone()));
                 }
                 let lag = self.lag();
-                self.after(lag, Event::Ask(node, life, call, to, request));
+                self.after(lag, Event::Notice(node, life, call, to, request));
             }
             Action::Answer { token, reply } => {
                 let (from, life, call) = self.tokens[&token];
@@ -395,7 +395,7 @@
                 if self.ran_at.contains_key(&request) {
                     self.faults.note("target told a fate");
                     let used = Tokens(self.cost[&request]);
-                    self.after(5, Event::ToNode(node, life, Input::Told { id, used }));
+                    self.after(5, Event::ToNode(node, life, Input::Fate { id, used }));
                 }
             }
             Action::Violated(violation) => {
@@ -433,7 +433,7 @@
                 used: Tokens(used / 2),
                 shown: id.nonce % 2 == 0,
             },
-            _ => End::Whole {
+            _ => End::Complete {
                 used: Tokens(used),
                 whole,
             },
--- a/tests/common/world/callers.rs
+++ b/tests/common/world/callers.rs
@@ -51,7 +51,7 @@
             class: "std".into(),
             kind: Kind::Engine,
             serves: "m".into(),
-            most: Tokens(MOST),
+            max_tokens: Tokens(MOST),
             repeatable,
         };
         let lag = self.lag();
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use lanedeck::router::budget::{Answer, Ledger, Pledge, Price, Taken, Ward};
+use lanedeck::router::budget::{Answer, Ledger, Price, Reservation, Taken, Ward};
 use lanedeck::router::config::{Config, Intent, Proposal};
 use lanedeck::router::control::{Status, StatusBudget, StatusPeer};
 use lanedeck::router::host::Peer;
@@ -17,7 +17,7 @@
 };
 use lanedeck::router::key::{BudgetKey, Incarnation, Stream};
 use lanedeck::router::log::{Batch, Checkpoint, Closed, Entry, Fold, Open, Record, digest};
-use lanedeck::router::message::{Ask, Reply, Request};
+use lanedeck::router::message::{Notice, Reply, Request};
 use lanedeck::router::report;
 use lanedeck::router::request::{Id, Prefix, Reason, Verdict};
 use lanedeck::units::{Millis, Offset, Tokens};
@@ -58,8 +58,8 @@
     }
 }
 
-fn pledge(price: Price) -> Pledge {
-    Pledge {
+fn reservation(price: Price) -> Reservation {
+    Reservation {
         reserved: Tokens(900),
         request: ID,
         target: address(9_000),
@@ -143,28 +143,28 @@
 fn peer_questions() {
     pin(
         "0001fd080706050403020107000a010203fb581b000a010203fb591b056e61636b610973746f636b686f6c6d020001fb2c012c",
-        &Request::Beat {
+        &Request::Heartbeat {
             peers: vec![peer()],
         },
     );
     let ward = Ward::new(
         &[(BUDGET, Tokens(40))],
-        &[(BUDGET, 9, pledge(Price::Permille(1_500)))],
+        &[(BUDGET, 9, reservation(Price::Permille(1_500)))],
         &[(BUDGET, 8, Tokens(12))],
         2,
     );
     let asks = vec![
-        Ask::Adopt(ward),
-        Ask::Open {
+        Notice::Adopt(ward),
+        Notice::Open {
             nonce: 9,
             budget: BUDGET,
-            pledge: pledge(Price::Whole),
+            reservation: reservation(Price::Whole),
         },
-        Ask::Settle {
+        Notice::Settle {
             nonce: 9,
             billed: Some(Tokens(33)),
         },
-        Ask::Heard { epoch: 2 },
+        Notice::Heard { epoch: 2 },
     ];
     let request = Request::Ward {
         to: OTHER,
@@ -199,7 +199,7 @@
 fn peer_answers() {
     pin(
         "0001fd080706050403020107000a010203fb581b000a010203fb591b056e61636b610973746f636b686f6c6d020001fb2c012c",
-        &Reply::Beat {
+        &Reply::Heartbeat {
             peers: vec![peer()],
         },
     );
--- a/tests/witness_rules.rs
+++ b/tests/witness_rules.rs
@@ -1,6 +1,6 @@
 //! A witness alone: what it acknowledges, and how it judges a takeover.
 
-use lanedeck::router::budget::{Answer, Pledge, Price, Replay, Taken, Ward, Witness};
+use lanedeck::router::budget::{Answer, Price, Replay, Reservation, Taken, Ward, Witness};
 use lanedeck::router::key::{BudgetKey, Incarnation};
 use lanedeck::router::request::Id;
 use lanedeck::units::{Millis, Tokens};
@@ -17,13 +17,13 @@
 }
 
 fn open(witness: &mut Witness, number: u64) -> Answer {
-    let pledge = Pledge {
+    let reservation = Reservation {
         reserved: Tokens(100),
         request: id(number),
         target: ([127, 0, 0, 1], 1).into(),
         price: Price::Permille(2_000),
     };
-    witness.open(Millis(1), id(number), KEY, pledge)
+    witness.open(Millis(1), id(number), KEY, reservation)
 }
 
 fn settle(witness: &mut Witness, number: u64, billed: u64) -> Answer {
