--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -6,7 +6,7 @@
 use rand::RngExt;
 
 use super::router::bind;
-use super::settings::Checker;
+use super::settings::{Checker, missing};
 use super::{Adapter, Command, Error, Result, dropped_lines, parse, start_output_logs};
 use crate::gateway;
 use crate::gateway::decision::grant::Sizing;
@@ -203,13 +203,7 @@
     in_force: String,
 }
 
-fn number(checker: &mut Checker, name: &str, value: &str, least: f64, most: f64) -> Option<f64> {
-    let wanted = format!("{least} to {most}");
-    checker.take(name, value, &wanted, |number: &f64| {
-        (least..=most).contains(number)
-    })
-}
-
+/// Checks all settings at once.
 fn check(args: &Args) -> Result<Checked> {
     let mut checker = Checker::default();
     let c = &mut checker;
@@ -224,50 +218,19 @@
     let heartbeat = c.span("heartbeat", &args.heartbeat, 50.0, 60_000.0);
     let address_ttl = c.span("keep", &args.keep, 100.0, 600_000.0);
     let grace = c.span("grace", &args.grace, 1_000.0, 3_600_000.0);
-    let ratio = number(c, "repeat-ratio", &args.repeat_ratio, 0.0, 10.0);
-    let window = c.span("repeat-window", &args.repeat_window, 100.0, 600_000.0);
-    let extra = number(c, "repeat-extra", &args.repeat_extra, 0.0, 1e6);
-    let horizon = c.span("horizon", &args.horizon, 100.0, 86_400_000.0);
-    let exact = c.span("exact", &args.exact, 0.0, 86_400_000.0);
-    let share = number(c, "share", &args.share, 0.0, 1.0);
-    let spread = number(c, "spread", &args.spread, 0.0, 1.0);
-    let wanted = "1 to 1000";
-    let holders = c.take("holders", &args.holders, wanted, |number: &usize| {
-        (1..=1_000).contains(number)
-    });
-    let wanted = "1 to 10000";
-    let partitions = c.take("partitions", &args.partitions, wanted, |number: &u32| {
-        (1..=10_000).contains(number)
-    });
+    let retries = retries(c, args);
+    let sizing = sizing(c, args);
+    let partitions = c.number("partitions", &args.partitions, 1, 10_000);
     let log_level = c.log_level(&args.log_level);
     c.fleet_key(&args.fleet_key);
     let in_force = checker.finish()?;
     let checked = || {
-        let me = Router {
-            name: name?,
-            incarnation: rand::rng().random(),
-            front: front?,
-            link: link?,
-            hall: hall?,
-            is_ready: false,
-            heartbeat: 0,
-        };
         Some(Checked {
             settings: Settings {
-                me,
+                me: me(name?, front?, link?, hall?),
                 heartbeat: heartbeat?,
-                retries: Bound {
-                    ratio: ratio?,
-                    window: window?,
-                    extra: extra?,
-                },
-                sizing: Sizing {
-                    horizon: horizon?,
-                    exact: exact?,
-                    share: share?,
-                    spread: spread?,
-                    holders: holders?,
-                },
+                retries: retries?,
+                sizing: sizing?,
                 seed: rand::rng().random(),
             },
             ready: ready?,
@@ -282,8 +245,45 @@
             in_force,
         })
     };
-    checked().ok_or(Error::Usage {
-        message: "a setting is missing".to_owned(),
+    checked().ok_or_else(missing)
+}
+
+/// This router's entry, before its first heartbeat.
+fn me(name: String, front: SocketAddr, link: SocketAddr, hall: String) -> Router {
+    Router {
+        name,
+        incarnation: rand::rng().random(),
+        front,
+        link,
+        hall,
+        is_ready: false,
+        heartbeat: 0,
+    }
+}
+
+fn retries(c: &mut Checker, args: &Args) -> Option<Bound> {
+    let ratio = c.number("repeat-ratio", &args.repeat_ratio, 0.0, 10.0);
+    let window = c.span("repeat-window", &args.repeat_window, 100.0, 600_000.0);
+    let extra = c.number("repeat-extra", &args.repeat_extra, 0.0, 1e6);
+    Some(Bound {
+        ratio: ratio?,
+        window: window?,
+        extra: extra?,
+    })
+}
+
+fn sizing(c: &mut Checker, args: &Args) -> Option<Sizing> {
+    let horizon = c.span("horizon", &args.horizon, 100.0, 86_400_000.0);
+    let exact = c.span("exact", &args.exact, 0.0, 86_400_000.0);
+    let share = c.number("share", &args.share, 0.0, 1.0);
+    let spread = c.number("spread", &args.spread, 0.0, 1.0);
+    let holders = c.number("holders", &args.holders, 1, 1_000);
+    Some(Sizing {
+        horizon: horizon?,
+        exact: exact?,
+        share: share?,
+        spread: spread?,
+        holders: holders?,
     })
 }
 
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 use tokio::net::TcpListener;
 
-use super::settings::Checker;
+use super::settings::{Checker, missing};
 use super::{Error, Result, block_on, print, start_logs};
 use crate::router;
 use crate::router::budget::Sizing;
@@ -173,8 +173,6 @@
 /// Settings that have been checked.
 pub struct Checked {
     pub settings: Settings,
-    pub entry: SocketAddr,
-    pub peer: SocketAddr,
     pub log: SocketAddr,
     pub hosts: SocketAddr,
     pub operator_hash: String,
@@ -186,13 +184,6 @@
     pub in_force: String,
 }
 
-fn span(checker: &mut Checker, name: &str, value: &str, least: u64, most: u64) -> Option<u64> {
-    let wanted = format!("a whole number from {least} to {most}");
-    checker.take(name, value, &wanted, |number| {
-        (least..=most).contains(number)
-    })
-}
-
 /// Checks all settings at once.
 pub fn check(args: &Args) -> Result<Checked> {
     let mut checker = Checker::default();
@@ -207,21 +198,11 @@
     let policy = c.take("policy", &args.policy, &wanted, |policy: &String| {
         POLICIES.contains(&policy.as_str())
     });
-    let horizon = span(c, "horizon", &args.horizon, 1, 86_400);
-    let append_gap = span(c, "append-gap", &args.append_gap, 1, 60_000);
-    let close_after = span(c, "close-after", &args.close_after, 1_000, 600_000);
-    let checkpoint_every = span(
-        c,
-        "checkpoint-every",
-        &args.checkpoint_every,
-        10,
-        10_000_000,
-    );
-    let queue = span(c, "queue", &args.queue, 1, 65_536);
-    let step = span(c, "step", &args.step, 0, 600_000);
-    let body_max = span(c, "body-max", &args.body_max, 1_024, 67_108_864);
-    let silence = span(c, "silence", &args.silence, 100, 3_600_000);
-    let threads = span(c, "threads", &args.threads, 1, 64);
+    let me = || Some(me(entry?, peer?, hall?, region?));
+    let settings = settings(c, args, me());
+    let body_max = c.whole("body-max", &args.body_max, 1_024, 67_108_864);
+    let silence = c.whole("silence", &args.silence, 100, 3_600_000);
+    let threads = c.whole("threads", &args.threads, 1, 64);
     c.log_level(&args.log_level);
     let is_hash = |text: &String| text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
     c.secret(
@@ -232,49 +213,58 @@
     );
     c.fleet_key(&args.fleet_key);
     let in_force = checker.finish()?;
-
     let checked = || {
-        let me = Peer {
-            incarnation: Incarnation(rand::rng().random()),
-            counter: 0,
-            entry: entry?,
-            address: peer?,
-            hall: hall?,
-            region: region?,
-            epoch: 1,
-            leaving: false,
-            witness: None,
-            applied: Offset::ZERO,
-        };
-        let mut settings = Settings::new(me, rand::rng().random());
-        settings.sizing = Sizing {
-            horizon: Millis(horizon? * 1_000),
-        };
-        settings.append_gap = Millis(append_gap?);
-        settings.close_after = Millis(close_after?);
-        settings.checkpoint_every = checkpoint_every?;
-        settings.bound = Bound {
-            len: usize::try_from(queue?).ok()?,
-            step: Millis(step?),
-        };
         Some(Checked {
-            settings,
-            entry: entry?,
-            peer: peer?,
+            settings: settings?,
             log: log?,
             hosts: hosts?,
             operator_hash: args.operator_hash.to_ascii_lowercase(),
             fleet_key: args.fleet_key.clone(),
-            body_max: usize::try_from(body_max?).ok()?,
+            body_max: body_max?,
             silence: Duration::from_millis(silence?),
-            threads: usize::try_from(threads?).ok()?,
+            threads: threads?,
             policy: policy?,
             in_force,
         })
     };
-    checked().ok_or(Error::Usage {
-        message: "a setting is missing".to_owned(),
-    })
+    checked().ok_or_else(missing)
+}
+
+/// This router as the others are told of it.
+fn me(entry: SocketAddr, address: SocketAddr, hall: String, region: String) -> Peer {
+    Peer {
+        incarnation: Incarnation(rand::rng().random()),
+        counter: 0,
+        entry,
+        address,
+        hall,
+        region,
+        epoch: 1,
+        leaving: false,
+        witness: None,
+        applied: Offset::ZERO,
+    }
+}
+
+fn settings(c: &mut Checker, args: &Args, me: Option<Peer>) -> Option<Settings> {
+    let horizon: Option<u64> = c.whole("horizon", &args.horizon, 1, 86_400);
+    let append_gap = c.whole("append-gap", &args.append_gap, 1, 60_000);
+    let close_after = c.whole("close-after", &args.close_after, 1_000, 600_000);
+    let every = c.whole("checkpoint-every", &args.checkpoint_every, 10, 10_000_000);
+    let queue = c.whole("queue", &args.queue, 1, 65_536);
+    let step = c.whole("step", &args.step, 0, 600_000);
+    let mut settings = Settings::new(me?, rand::rng().random());
+    settings.sizing = Sizing {
+        horizon: Millis(horizon? * 1_000),
+    };
+    settings.append_gap = Millis(append_gap?);
+    settings.close_after = Millis(close_after?);
+    settings.checkpoint_every = every?;
+    settings.bound = Bound {
+        len: queue?,
+        step: Millis(step?),
+    };
+    Some(settings)
 }
 
 /// Binds an address, and says which where that fails.
@@ -289,8 +279,8 @@
 
 /// Binds a router's addresses; those given with port 0 are filled in.
 pub async fn bound(mut checked: Checked) -> Result<router::Options> {
-    let entry = bind("entry", checked.entry).await?;
-    let peers = bind("peer", checked.peer).await?;
+    let entry = bind("entry", checked.settings.me.entry).await?;
+    let peers = bind("peer", checked.settings.me.address).await?;
     let local = |listener: &TcpListener| {
         listener.local_addr().map_err(|source| Error::Io {
             what: "bound address".to_owned(),
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -1,7 +1,7 @@
 //! Settings from the command line and the environment, and how they are checked: all at once, so
 //! that every wrong one is told.
 
-use std::fmt::Write;
+use std::fmt::{self, Write};
 use std::net::SocketAddr;
 use std::str::FromStr;
 
@@ -142,6 +142,26 @@
         self.take(name, value, NAME, |name: &String| is_name(name))
     }
 
+    /// Reads a number with its bounds.
+    pub fn number<T>(&mut self, name: &str, value: &str, least: T, most: T) -> Option<T>
+    where
+        T: FromStr + PartialOrd + fmt::Display,
+    {
+        let wanted = format!("{least} to {most}");
+        let fits = |number: &T| (&least..=&most).contains(&number);
+        self.take(name, value, &wanted, fits)
+    }
+
+    /// Reads a whole number with its bounds.
+    pub fn whole<T>(&mut self, name: &str, value: &str, least: T, most: T) -> Option<T>
+    where
+        T: FromStr + PartialOrd + fmt::Display,
+    {
+        let wanted = format!("a whole number from {least} to {most}");
+        let fits = |number: &T| (&least..=&most).contains(&number);
+        self.take(name, value, &wanted, fits)
+    }
+
     /// Reads a span of time, with bounds in milliseconds.
     pub fn span(&mut self, name: &str, value: &str, least: f64, most: f64) -> Option<Millis> {
         let wanted = format!("{least} to {most} milliseconds, or seconds with an s");
@@ -205,3 +225,10 @@
         Err(Error::Usage { message })
     }
 }
+
+/// A setting that is neither wrong nor there: a fault of ours, told all the same.
+pub fn missing() -> Error {
+    Error::Usage {
+        message: "a setting is missing".to_owned(),
+    }
+}
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -3,151 +3,16 @@
 //! For each budget, at each offset: unallotted + held + settled + in doubt = prepaid. The ledger
 //! asserts this itself after every record that touches a budget.
 
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
+use super::account::{Budget, Grant, PREPAID_MAX};
 use crate::router::intent::{Change, Outcome, Outcomes, Plan, Refused, Terms};
 use crate::router::key::{BudgetKey, Incarnation};
 use crate::router::log::{Closed, Fold, Record, Sequence, Violation};
-use crate::router::request::Id;
 use crate::units::{Offset, Tokens};
 
-/// Most tokens that a budget may be given, so that sums cannot overflow.
-pub const PREPAID_MAX: Tokens = Tokens(1 << 52);
-/// Most requests of closed holders that a budget remembers as billed.
-const RESOLVED_MAX: usize = 4096;
-
-/// What one incarnation holds of a budget. All three are running totals.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Grant {
-    /// Tokens handed to it.
-    pub granted: Tokens,
-    /// Tokens that it has billed.
-    pub settled: Tokens,
-    /// Tokens that it has given back.
-    pub returned: Tokens,
-}
-
-impl Grant {
-    /// What it still may spend.
-    pub fn held(&self) -> Tokens {
-        self.granted
-            .saturating_sub(self.settled)
-            .saturating_sub(self.returned)
-    }
-}
-
-impl Grant {
-    /// Takes a new total of what is billed; `None` where it does not fit.
-    fn settle(&mut self, total: Tokens) -> Option<Tokens> {
-        let fits = total >= self.settled && total + self.returned <= self.granted;
-        self.settled = fits.then_some(total)?;
-        Some(Tokens::ZERO)
-    }
-
-    /// Takes a new total of what is given back; the difference, or `None` where it does not fit.
-    fn give_back(&mut self, total: Tokens) -> Option<Tokens> {
-        let fits = total >= self.returned && total + self.settled <= self.granted;
-        let more = fits.then(|| total - self.returned)?;
-        self.returned = total;
-        Some(more)
-    }
-}
-
-/// A prepaid budget.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Budget {
-    /// Its name, unique within the fleet.
-    pub name: String,
-    /// Customer, class and the like, as the operator confirmed them.
-    pub terms: Terms,
-    /// Offset of the last confirmed change.
-    pub version: Offset,
-    /// What may be spent in all; above `terms.prepaid` only while a cut waits for returns.
-    pub prepaid: Tokens,
-    /// Not handed to anybody.
-    pub unallotted: Tokens,
-    /// Billed by holders that are gone.
-    pub settled: Tokens,
-    /// Holders.
-    pub grants: BTreeMap<Incarnation, Grant>,
-    /// Requests of closed holders whose outcome nobody has vouched for; counted as spent.
-    pub doubt: BTreeMap<(Incarnation, u64), Tokens>,
-    /// Where somebody last got less than it asked for; holders then return what lies idle.
-    pub scarce: Option<Offset>,
-    resolved: VecDeque<(Incarnation, u64, Tokens)>,
-}
-
-impl Budget {
-    fn new(name: &str, terms: &Terms, version: Offset) -> Self {
-        Self {
-            name: name.to_owned(),
-            terms: terms.clone(),
-            version,
-            prepaid: terms.prepaid,
-            unallotted: terms.prepaid,
-            settled: Tokens::ZERO,
-            grants: BTreeMap::new(),
-            doubt: BTreeMap::new(),
-            scarce: None,
-            resolved: VecDeque::new(),
-        }
-    }
-
-    /// All that was billed, by present and past holders.
-    pub fn billed(&self) -> Tokens {
-        self.settled + self.grants.values().map(|grant| grant.settled).sum()
-    }
-
-    /// All that holders may still spend.
-    pub fn held(&self) -> Tokens {
-        self.grants.values().map(Grant::held).sum()
-    }
-
-    /// All that is in doubt.
-    pub fn doubted(&self) -> Tokens {
-        self.doubt.values().copied().sum()
-    }
-
-    fn take_back(&mut self, amount: Tokens) {
-        self.unallotted += amount;
-        self.cut();
-    }
-
-    /// Takes what a smaller budget still has to lose out of the unallotted part.
-    fn cut(&mut self) {
-        let over = self.prepaid.saturating_sub(self.terms.prepaid);
-        let now = over.min(self.unallotted);
-        self.unallotted -= now;
-        self.prepaid -= now;
-    }
-
-    fn set_terms(&mut self, terms: &Terms, version: Offset) {
-        let more = terms.prepaid.saturating_sub(self.prepaid);
-        self.prepaid += more;
-        self.unallotted += more;
-        self.terms = terms.clone();
-        self.version = version;
-        self.cut();
-        if self.prepaid > self.terms.prepaid {
-            self.scarce = Some(version);
-        }
-    }
-
-    fn check(&self) -> Result<(), Violation> {
-        let parts = self.unallotted + self.held() + self.billed() + self.doubted();
-        if parts == self.prepaid {
-            return Ok(());
-        }
-        Err(Violation::Conservation {
-            budget: self.name.clone(),
-            prepaid: self.prepaid,
-            parts,
-        })
-    }
-}
-
 /// The budgets of one shard.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
@@ -373,6 +238,7 @@
         result
     }
 
+    /// The bill of a request that was in doubt; it counts once.
     fn resolve(
         &mut self,
         holder: Incarnation,
@@ -380,31 +246,9 @@
         billed: Tokens,
     ) -> Result<(), Violation> {
         for budget in &mut self.budgets {
-            let Some(reserved) = budget.doubt.remove(&(holder, nonce)) else {
-                let known = budget
-                    .resolved
-                    .iter()
-                    .find(|known| (known.0, known.1) == (holder, nonce));
-                match known {
-                    None => continue,
-                    // The same bill again changes nothing.
-                    Some((_, _, before)) if *before == billed => return Ok(()),
-                    Some(_) => {
-                        let incarnation = holder;
-                        return Err(Violation::BilledTwice {
-                            id: Id { incarnation, nonce },
-                        });
-                    }
-                }
-            };
-            let bill = billed.min(reserved);
-            budget.settled += bill;
-            budget.take_back(reserved - bill);
-            budget.resolved.push_back((holder, nonce, billed));
-            if budget.resolved.len() > RESOLVED_MAX {
-                budget.resolved.pop_front();
+            if let Some(result) = budget.resolve(holder, nonce, billed) {
+                return result;
             }
-            return Ok(());
         }
         Ok(())
     }
--- a/src/router/budget/mod.rs
+++ b/src/router/budget/mod.rs
@@ -6,14 +6,18 @@
 //! closed one it acknowledges nothing more for it. No clock takes part in any of this: time only
 //! decides when somebody tries.
 
+mod account;
 mod demand;
 mod holder;
 mod ledger;
 mod reservation;
+mod ward;
 mod witness;
 
+pub use account::{Budget, Grant, PREPAID_MAX};
 pub use demand::{Demand, Sizing};
 pub use holder::{Holder, Shortage};
-pub use ledger::{Budget, Grant, Ledger, PREPAID_MAX};
+pub use ledger::Ledger;
 pub use reservation::{Price, Reservation};
-pub use witness::{Answer, Replay, Resolved, State, Taken, Ward, Witness};
+pub use ward::{State, Ward};
+pub use witness::{Answer, Replay, Resolved, Taken, Witness};
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -10,25 +10,15 @@
 use serde::{Deserialize, Serialize};
 
 use super::Reservation;
+use super::ward::{State, Ward};
 use crate::router::key::{BudgetKey, Incarnation};
-use crate::router::log::{Closed, Open};
-use crate::router::request::{EPOCH_KEEP, Id, epoch_of};
+use crate::router::log::Closed;
+use crate::router::request::{EPOCH_KEEP, Id};
 use crate::units::{Millis, Tokens};
 
 /// A closed ward is kept for this long, for retries of its requests.
 const CLOSED_KEEP: Millis = Millis(3_600_000);
 
-/// State of a ward's request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
-    /// Dispatched, or about to be.
-    Open(Reservation),
-    /// Billed.
-    Settled(Tokens),
-    /// Another router runs it.
-    Taken(Incarnation),
-}
-
 /// A witness's answer to a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
@@ -75,65 +65,6 @@
     Stale,
 }
 
-/// What is kept for one holder.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ward {
-    totals: BTreeMap<BudgetKey, Tokens>,
-    entries: BTreeMap<u64, (BudgetKey, State)>,
-    epoch: u32,
-}
-
-impl Ward {
-    /// A holder's books, for a new witness: totals, open requests, settled requests.
-    pub fn new(
-        totals: &[(BudgetKey, Tokens)],
-        open: &[(BudgetKey, u64, Reservation)],
-        settled: &[(BudgetKey, u64, Tokens)],
-        epoch: u32,
-    ) -> Self {
-        let open = open
-            .iter()
-            .map(|(key, nonce, reservation)| (*nonce, (*key, State::Open(*reservation))));
-        let settled = settled
-            .iter()
-            .map(|(key, nonce, billed)| (*nonce, (*key, State::Settled(*billed))));
-        Self {
-            totals: totals.iter().copied().collect(),
-            entries: open.chain(settled).collect(),
-            epoch,
-        }
-    }
-
-    fn report(&self) -> Vec<Closed> {
-        let mut budgets: BTreeMap<BudgetKey, Closed> = BTreeMap::new();
-        let blank = |budget| Closed {
-            budget,
-            settled: Tokens::ZERO,
-            open: Vec::new(),
-        };
-        for (budget, settled) in &self.totals {
-            let entry = budgets.entry(*budget).or_insert_with(|| blank(*budget));
-            entry.settled = *settled;
-        }
-        for (nonce, (budget, state)) in &self.entries {
-            if let State::Open(reservation) = *state {
-                let entry = budgets.entry(*budget).or_insert_with(|| blank(*budget));
-                let nonce = *nonce;
-                let reserved = reservation.reserved;
-                entry.open.push(Open { nonce, reserved });
-            }
-        }
-        budgets.into_values().collect()
-    }
-
-    fn prune(&mut self) {
-        let oldest = self.epoch.saturating_sub(EPOCH_KEEP);
-        self.entries.retain(|nonce, (_, state)| {
-            matches!(state, State::Open(_)) || epoch_of(*nonce) >= oldest
-        });
-    }
-}
-
 /// The bill of a closed holder's request, to be written after the close.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resolved {
