--- a/src/cmd/intent.rs
+++ b/src/cmd/intent.rs
@@ -23,7 +23,7 @@
   plan drain TARGET                    give a target no new work
   plan undrain TARGET                  give it work again
   plan priority CLASS RANK PERMILLE    change a class's place and price
-  plan release BUDGET HOLDER BILLED    vouch that a holder is gone for good
+  plan release BUDGET HOLDER BILLED    state that a holder is gone for good
   plan put FILE                        any intent as JSON ('-' is standard input)
   plan delete KIND NAME                remove a customer, class, target or objective
   confirm FILE                         put a plan in force; may be repeated
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -31,7 +31,7 @@
     Late,
     /// The target's instance or the customer cannot be written in a header; nothing was sent.
     Unwritable,
-    /// The target vouches that it has not run the request.
+    /// The target says that it has not run the request.
     Refused,
     /// Another instance has the target's address, and has not run the request.
     WrongInstance,
--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -114,7 +114,7 @@
 pub struct Reply {
     /// Id of the request that it answers.
     pub id: Option<String>,
-    /// Whether the target vouches that it has not run the request and never will.
+    /// Whether the target says that it has not run the request and never will.
     pub not_run: bool,
     /// Whether a target has signed it, so that it is not some other server's answer.
     pub is_signed: bool,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,33 +1,33 @@
 //! A gateway: the router process towards callers that speak a deployment's own dialect.
 //!
-//! One thread owns the control state ([`state`]) and runs [`control`]; the others carry bytes
-//! ([`listener`], `serve`, `exchange`, `stream`). The rules by which a request is admitted, placed,
+//! One thread owns the control state (`state`) and runs `control`; the others carry bytes
+//! (`listener`, `serve`, `exchange`, `stream`). The rules by which a request is admitted, placed,
 //! retried and given up, and grants are sized, are in [`decision`], one module each. What lasts is
 //! kept in the deployment's [`store`](crate::store); what its wire looks like is the business of its
 //! [`Dialect`](dialect::Dialect).
 
-pub mod attempt;
+mod attempt;
 pub mod body;
-pub mod control;
+mod control;
 pub mod decision;
 pub mod dialect;
 pub mod escrow;
 mod exchange;
 mod headers;
-pub mod job;
+mod job;
 pub mod key;
-pub mod listener;
+mod listener;
 pub mod members;
 pub mod message;
 pub mod metrics;
 mod process;
-pub mod relay;
+mod relay;
 pub mod reply;
 pub mod route;
 mod serve;
-pub mod shared;
+mod shared;
 pub mod sse;
-pub mod state;
+pub(crate) mod state;
 mod stream;
 pub mod targets;
 
--- a/src/router/budget/account.rs
+++ b/src/router/budget/account.rs
@@ -14,7 +14,7 @@
 
 /// Most tokens that a budget may be given, so that sums cannot overflow.
 pub const PREPAID_MAX: Tokens = Tokens(1 << 52);
-/// Most requests of closed holders that a budget remembers as billed.
+/// Most requests of closed holders that a budget remembers as billed. Not measured.
 const RESOLVED_MAX: usize = 4096;
 
 /// What one incarnation holds of a budget. All three are running totals.
@@ -69,7 +69,7 @@
     pub settled: Tokens,
     /// Holders.
     pub grants: BTreeMap<Incarnation, Grant>,
-    /// Requests of closed holders whose outcome nobody has vouched for; counted as spent.
+    /// Requests of closed holders whose outcome nobody has told; counted as spent.
     pub doubt: BTreeMap<(Incarnation, u64), Tokens>,
     /// Where somebody last got less than it asked for; holders then return what lies idle.
     pub scarce: Option<Offset>,
--- a/src/router/budget/demand.rs
+++ b/src/router/budget/demand.rs
@@ -2,7 +2,7 @@
 
 use crate::units::{Millis, Tokens};
 
-/// Time constant of the demand estimate.
+/// Time constant of the demand estimate. Not measured.
 const MEMORY: Millis = Millis(10_000);
 /// Span of demand that a holder keeps when it gives back. Not measured.
 const KEPT: Millis = Millis(2_000);
--- a/src/router/budget/holder.rs
+++ b/src/router/budget/holder.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, Default)]
 struct Account {
     settled: Tokens,
-    vouched: Tokens,
+    acknowledged: Tokens,
     returned: Tokens,
     reserved: Tokens,
     entries: BTreeMap<u64, Entry>,
@@ -134,21 +134,21 @@
     }
 
     /// The witness has a settlement, or there is no witness: it may go to the log.
-    pub fn vouch(&mut self, key: BudgetKey, billed: Tokens) {
+    pub fn acknowledge(&mut self, key: BudgetKey, billed: Tokens) {
         let account = self.accounts.entry(key).or_default();
-        account.vouched += billed;
-        debug_assert!(account.vouched <= account.settled);
+        account.acknowledged += billed;
+        debug_assert!(account.acknowledged <= account.settled);
     }
 
-    /// Budgets whose vouched total is ahead of the ledger's, with the total.
+    /// Budgets whose acknowledged total is ahead of the ledger's, with the total.
     pub fn unrecorded<'a>(
         &'a self,
         grant: impl Fn(BudgetKey) -> Grant + 'a,
     ) -> impl Iterator<Item = (BudgetKey, Tokens)> + 'a {
         let accounts = self.accounts.iter();
         accounts
-            .filter(move |(key, account)| grant(**key).settled < account.vouched)
-            .map(|(key, account)| (*key, account.vouched))
+            .filter(move |(key, account)| grant(**key).settled < account.acknowledged)
+            .map(|(key, account)| (*key, account.acknowledged))
     }
 
     /// What to ask the ledger for when `short` is lacking.
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -133,7 +133,7 @@
         index
     }
 
-    /// An operator vouches that a gone holder will not spend: everything of it is billed up to
+    /// An operator states that a gone holder will not spend: everything of it is billed up to
     /// `billed`, and the rest comes back.
     fn release(&mut self, offset: Offset, index: u32, holder: Incarnation, billed: Tokens) {
         let Some(budget) = self.budgets.get_mut(index as usize) else {
--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -57,7 +57,7 @@
     },
     /// Nothing reached the target.
     Unsent,
-    /// The target vouches that it did not run the request.
+    /// The target says that it did not run the request.
     Refused,
     /// It broke off, or its answer cannot be trusted.
     Broken {
@@ -300,7 +300,7 @@
     pub held: Tokens,
     /// Tokens billed.
     pub billed: Tokens,
-    /// Tokens of requests whose outcome nobody vouches for; counted as spent.
+    /// Tokens of requests whose outcome nobody has told; counted as spent.
     pub in_doubt: Tokens,
     /// Holders in hexadecimal, with what each holds.
     pub holders: Vec<(String, Tokens)>,
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -1,5 +1,7 @@
 //! Arrivals: whose id it is, whether it may be taken on, and where it waits.
 
+use super::decision::refusal::{self, Standing};
+use super::decision::takeover;
 use super::job::{Job, Stage};
 use super::state::Asked;
 use super::{Action, Spec, State};
@@ -45,7 +47,12 @@
 
     /// Refuses a request that has no job yet.
     fn turn_away(&mut self, ticket: Ticket, own: bool, reason: Reason) {
-        let verdict = if own && self.is_sure() {
+        let standing = Standing {
+            is_own: own,
+            may_have_run: false,
+            is_sure: self.is_sure(),
+        };
+        let verdict = if refusal::is_certain(standing) {
             self.not_run(reason)
         } else {
             Verdict::MayHaveRun { reason }
@@ -192,8 +199,12 @@
     /// else can have been given it: a router that its witness may have closed by now cannot speak
     /// for its own ids, nor for what it had under an earlier incarnation.
     pub(super) fn refusal(&mut self, job: &Job, reason: Reason) -> Verdict {
-        let ours = job.holder == self.incarnation() && job.stage != Stage::Judged;
-        if ours && !job.doubted && self.is_sure() {
+        let standing = Standing {
+            is_own: job.holder == self.incarnation() && job.stage != Stage::Judged,
+            may_have_run: job.doubted,
+            is_sure: self.is_sure(),
+        };
+        if refusal::is_certain(standing) {
             self.not_run(reason)
         } else {
             Verdict::MayHaveRun { reason }
@@ -278,20 +289,10 @@
             return;
         };
         self.table.remove(job.spec.id);
-        let repeatable = job.spec.repeatable;
-        let run = match taken {
-            Taken::Fresh => Ok((None, false)),
-            Taken::Yours => Ok((None, true)),
-            Taken::Open if repeatable => Ok((None, true)),
-            Taken::Settled(billed) if repeatable => Ok((Some(billed), true)),
-            Taken::Open | Taken::Settled(_) | Taken::Unknown => Err(Reason::Lost),
-            Taken::Other(_) | Taken::Alive => Err(Reason::Elsewhere),
-            Taken::Expired => Err(Reason::Expired),
-        };
-        match run {
-            Ok((paid, doubted)) => {
-                job.paid = paid;
-                job.doubted = doubted;
+        match takeover::decide(taken, job.spec.repeatable) {
+            Ok(terms) => {
+                job.paid = terms.paid;
+                job.doubted = terms.may_have_run;
                 job.nonce = self.own_nonce();
                 self.admit(job);
             }
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -1,5 +1,6 @@
 //! From the queue to a target, and back.
 
+use super::decision::retry::{self, Failure, History};
 use super::job::{Job, Settling, Stage};
 use super::{Action, End, State};
 use crate::ejection::Outcome;
@@ -9,19 +10,11 @@
 use crate::router::request::{Id, Reason, Ticket, Verdict, Waiting};
 use crate::units::{Millis, Tokens};
 
-/// Dispatches of one request, at most.
-const ATTEMPTS_MAX: u32 = 3;
-/// Retries that may be saved up.
-const RETRIES_MAX: f64 = 10.0;
-/// Retries that a process starts with.
-pub(super) const RETRIES_FIRST: f64 = 3.0;
-/// What each whole answer adds to the retries: one in ten requests may be tried again.
-const RETRY_SHARE: f64 = 0.1;
-/// Longest wait of a reservation for its witnesses.
+/// Longest wait of a reservation for its witnesses. Not measured.
 const OPEN_WAIT: Millis = Millis(1_500);
-/// Longest wait for a witness to judge.
+/// Longest wait for a witness to judge. Not measured.
 const JUDGE_WAIT: Millis = Millis(1_500);
-/// Longest that a verdict waits for the witness of its settlement.
+/// Longest that a verdict waits for the witness of its settlement. Not measured.
 const VERDICT_WAIT: Millis = Millis(200);
 
 /// Whether a queued request could start.
@@ -197,10 +190,10 @@
         self.pool.finished(self.now, choice.target, Some(outcome));
         match end {
             End::Complete { used, .. } => {
-                self.retries = (self.retries + RETRY_SHARE).min(RETRIES_MAX);
+                self.retries.note_answer();
                 self.settle_whole(ticket, used);
             }
-            End::Unsent | End::Refused if self.try_another(ticket, choice) => {}
+            End::Unsent | End::Refused if self.retry(ticket, choice, Failure::NotRun) => {}
             End::Unsent | End::Refused => match self.jobs[&ticket].seen {
                 Some(seen) => self.settle_broken(ticket, seen),
                 None => self.cancel(ticket, Reason::TargetRefused),
@@ -216,20 +209,28 @@
         };
         job.doubted = true;
         job.seen = Some(used.max(job.seen.unwrap_or(Tokens::ZERO)));
-        let again = job.spec.repeatable && !shown;
-        if !again || !self.try_another(ticket, choice) {
+        let failure = Failure::Broken {
+            is_repeatable: job.spec.repeatable,
+            was_shown: shown,
+        };
+        if !self.retry(ticket, choice, failure) {
             self.settle_broken(ticket, used);
         }
     }
 
-    /// Sends a request to another target under the reservation that it has.
-    fn try_another(&mut self, ticket: Ticket, last: Choice) -> bool {
+    /// Dispatches a request to another target under the reservation that it has, if the rules, the
+    /// targets and the retry budget allow it.
+    fn retry(&mut self, ticket: Ticket, last: Choice, failure: Failure) -> bool {
         let Some(job) = self.jobs.get_mut(&ticket) else {
             return false;
         };
         job.tried.push(last.target);
-        let ours = job.holder == self.holder.me();
-        if !ours || job.attempt >= ATTEMPTS_MAX || self.retries < 1.0 {
+        let history = History {
+            failure,
+            attempts: job.attempt,
+            is_own: job.holder == self.holder.me(),
+        };
+        if !retry::may_retry(&history, &self.retries) {
             return false;
         }
         let Some(choice) = choose(&self.pool, self.now, job, &mut self.rng) else {
@@ -237,7 +238,7 @@
         };
         job.choice = Some(choice);
         let ask = job.open_ask();
-        self.retries -= 1.0;
+        self.retries.take();
         self.pool.dispatched(choice.target);
         // The witness has the reservation already; this tells it where to ask.
         if let Some(ask) = ask {
@@ -326,7 +327,7 @@
         let nonce = job.nonce;
         self.settling.insert(nonce, settling);
         self.tell_witnesses(&Notice::Settle { nonce, billed });
-        self.try_vouch(nonce);
+        self.try_acknowledge(nonce);
     }
 
     /// A request of an earlier incarnation of this process: its old witness decides the bill.
--- a/src/router/control/link.rs
+++ b/src/router/control/link.rs
@@ -8,10 +8,10 @@
 
 use super::Call;
 
-/// A call unanswered for this long is sent again.
+/// A call unanswered for this long is sent again. Not measured.
 const RESEND_AFTER: Millis = Millis(400);
-/// Asks in one call.
-const ASKS_MAX: usize = 128;
+/// Notices in one call. Not measured.
+const NOTICES_MAX: usize = 128;
 
 #[derive(Clone, Debug)]
 struct Flight {
@@ -34,7 +34,7 @@
     pub adopted: bool,
     /// Requests that stood open in the books when they were made.
     pub open: Vec<u64>,
-    /// Requests that stood settled in them, and were not yet vouched for.
+    /// Requests that stood settled in them, and were not yet acknowledged.
     pub settled: Vec<u64>,
 }
 
@@ -77,7 +77,7 @@
             }
             None if self.outbox.is_empty() => return None,
             None => {
-                let count = self.outbox.len().min(ASKS_MAX);
+                let count = self.outbox.len().min(NOTICES_MAX);
                 let asks = self.outbox.drain(..count).collect();
                 self.seq += 1;
                 let since = now;
--- a/src/router/control/mod.rs
+++ b/src/router/control/mod.rs
@@ -7,6 +7,7 @@
 
 mod action;
 mod arrive;
+mod decision;
 mod dispatch;
 mod job;
 mod link;
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -1,22 +1,22 @@
 //! Asking for grants, giving them back, and writing down what was spent.
 
 use super::State;
+use super::decision::grant::{self, Decision, Shortage};
 use crate::router::key::{BudgetKey, Stream};
 use crate::router::log::Record;
 use crate::router::request::{Reason, Ticket};
 use crate::units::{Millis, Tokens};
 
-/// Time between two rounds of settlement records, in a small fleet.
+/// Time between two rounds of settlement records, in a small fleet. Not measured.
 const BOOKS_EVERY: Millis = Millis(1_000);
-/// What each other router adds to it, so that the fleet's appends stay within what the log takes.
+/// What each other router adds to it, so that the fleet's appends stay within what the log takes:
+/// 57 appends/s instead of 93 with 32 routers (docs/CAPACITY.md, slopes).
 const BOOKS_PER_PEER: Millis = Millis(20);
-/// A budget is asked for again after this long at the earliest.
+/// A budget is asked for again after this long at the earliest. Not measured.
 const ASK_AGAIN: Millis = Millis(300);
-/// Longest wait for others to give back what lies idle with them.
-const RECALL_WAIT: Millis = Millis(1_500);
-/// A grant is asked for before it runs out within this span.
+/// A grant is asked for before it runs out within this span. Not measured.
 const LOW_WITHIN: Millis = Millis(5_000);
-/// The log counts as out when it has not answered for this long.
+/// The log counts as out when it has not answered for this long. Not measured.
 const LOG_WAIT: Millis = Millis(2_000);
 
 impl State {
@@ -31,21 +31,19 @@
         let now = self.now;
         let budget = self.ledger(key.shard).budget(key.index)?;
         let (left, held, holders) = (budget.unallotted, budget.held(), budget.grants.len());
-        let owed = budget.prepaid > budget.terms.prepaid;
-        if left < short && held == Tokens::ZERO {
-            return Some(Reason::BudgetExhausted);
-        }
+        let is_owed = budget.prepaid > budget.terms.prepaid;
         let job = self.jobs.get_mut(&ticket)?;
         let since = *job.short_since.get_or_insert(now);
-        let all = left + held;
-        if all < short || owed && left == Tokens::ZERO && held <= short {
-            return Some(Reason::BudgetExhausted);
-        }
-        if self.is_log_out() {
-            return Some(Reason::LogUnavailable);
-        }
-        if now > since + RECALL_WAIT {
-            return Some(Reason::BudgetElsewhere);
+        let shortage = Shortage {
+            short,
+            left,
+            held,
+            is_owed,
+            is_log_out: self.is_log_out(),
+            waited: now.saturating_sub(since),
+        };
+        if let Decision::Refuse(reason) = grant::decide(&shortage) {
+            return Some(reason);
         }
         let ask = self.holder.ask(now, key, short, left, holders + 1);
         self.ask_for(key, ask);
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -11,24 +11,24 @@
 use crate::router::request::{EPOCH_KEEP, Id, Prefix};
 use crate::units::{Millis, Tokens};
 
-/// Time between two rounds of heartbeats.
-const BEAT_EVERY: Millis = Millis(1_000);
-/// Time between two rounds of forgetting.
+/// Time between two rounds of heartbeats. Not measured.
+const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
+/// Time between two rounds of forgetting. Not measured.
 const PRUNE_EVERY: Millis = Millis(10_000);
-/// A ward silent for this long, whose ledgers name another witness, is forgotten.
+/// A ward silent for this long, whose ledgers name another witness, is forgotten. Not measured.
 const FORGET_AFTER: Millis = Millis(3_600_000);
-/// Time between two rounds of questions to targets about requests in doubt.
+/// Time between two rounds of questions to targets about requests in doubt. Not measured.
 const INQUIRE_EVERY: Millis = Millis(1_000);
-/// Questions in a round.
+/// Questions in a round. Not measured.
 const INQUIRIES: usize = 64;
-/// Concurrency of a customer that gets a wider set of entry hosts.
+/// Concurrency of a customer that gets a wider set of entry hosts. Not measured.
 const LARGE: u32 = 256;
-/// A router behind the log asks a peer for its state this often.
+/// A router behind the log asks a peer for its state this often. Not measured.
 const STATE_EVERY: Millis = Millis(1_000);
 
 impl State {
     pub(super) fn send_heartbeats(&mut self) {
-        if self.now < self.last_beat + BEAT_EVERY && self.last_beat > Millis::ZERO {
+        if self.now < self.last_beat + HEARTBEAT_INTERVAL && self.last_beat > Millis::ZERO {
             return;
         }
         self.last_beat = self.now;
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -6,6 +6,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
+use super::decision::retry::Budget;
 use super::job::{Job, Settling};
 use super::link::Link;
 use super::{Action, Call, Input, Token};
@@ -38,8 +39,6 @@
     pub bound: Bound,
     /// Least time between two appends of this router to a stream.
     pub append_gap: Millis,
-    /// Whether a dispatch waits for a witness.
-    pub witnessed: bool,
     /// A ward silent for this long is closed.
     pub close_after: Millis,
     /// Appends to a stream between two checkpoints.
@@ -55,18 +54,10 @@
             sizing: Sizing::default(),
             bound: Bound::default(),
             append_gap: Millis(100),
-            witnessed: true,
             close_after: Millis(4_000),
             checkpoint_every: 5_000,
         }
     }
-
-    /// With or without a witness's acknowledgement before each dispatch.
-    #[must_use]
-    pub fn with_witnessed(mut self, witnessed: bool) -> Self {
-        self.witnessed = witnessed;
-        self
-    }
 }
 
 /// A link by holder and witness; the holder may be an earlier incarnation of this process.
@@ -130,7 +121,7 @@
     pub(super) by_nonce: BTreeMap<u64, Ticket>,
     pub(super) queues: BTreeMap<(Kind, String), Queue>,
     pub(super) busy: HashMap<String, u32>,
-    pub(super) retries: f64,
+    pub(super) retries: Budget,
 
     pub(super) pool: Pool,
     pub(super) membership: Membership,
@@ -187,7 +178,7 @@
             by_nonce: BTreeMap::new(),
             queues: BTreeMap::new(),
             busy: HashMap::new(),
-            retries: super::dispatch::RETRIES_FIRST,
+            retries: Budget::default(),
             pool: Pool::default(),
             membership: Membership::new(me),
             next_call: 1,
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -13,9 +13,10 @@
 use crate::router::request::{Id, Ticket, Verdict};
 use crate::units::{Millis, Tokens};
 
-/// A witness that has not answered for this long is replaced.
+/// A witness that has not answered for this long is replaced. Not measured.
 const SILENT: Millis = Millis(1_000);
 /// An earlier incarnation's bills are given up when its witness is silent for this long.
+/// Not measured.
 const LATE_WAIT: Millis = Millis(10_000);
 
 impl State {
@@ -23,9 +24,6 @@
     /// the ledger names, the one that is taking over, and any that a record under way names, since
     /// that record may already be in the log.
     pub(super) fn needed(&self, shard: u8) -> Vec<Incarnation> {
-        if !self.settings.witnessed {
-            return Vec::new();
-        }
         let mut needed = self.named(shard);
         needed.extend(self.membership.me().witness);
         needed.sort_unstable();
@@ -66,9 +64,6 @@
 
     /// Keeps a witness that answers, and has the ledgers name it.
     pub(super) fn watch_witness(&mut self) {
-        if !self.settings.witnessed {
-            return;
-        }
         self.drop_links();
         let me = self.incarnation();
         match self.membership.me().witness {
@@ -165,7 +160,7 @@
         let stream = Stream::Shard(shard);
         let same =
             |record: &Record| matches!(record, Record::Witness { witness: one } if *one == witness);
-        if !self.settings.witnessed || !adopted || recorded == witness {
+        if !adopted || recorded == witness {
             return;
         }
         let writer = self.writer(stream);
@@ -208,7 +203,7 @@
         }
     }
 
-    /// The witness has forgotten us, or is not there any more: it vouches for nothing.
+    /// The witness has forgotten us, or is not there any more: it acknowledges nothing.
     fn witness_lost(&mut self, key: LinkKey) {
         if self.membership.me().witness == Some(key.1) && key.0 == self.incarnation() {
             self.change_witness(Some(key.1));
@@ -239,7 +234,7 @@
                 if let Some(settling) = self.settling.get_mut(nonce) {
                     settling.acked.push(witness);
                 }
-                self.try_vouch(*nonce);
+                self.try_acknowledge(*nonce);
             }
             Notice::Heard { .. } => {}
         }
@@ -254,7 +249,7 @@
         }
     }
 
-    /// A witness has the books, and with them all that was open or unvouched when they were
+    /// A witness has the books, and with them all that was open or unacknowledged when they were
     /// sent. What came later is behind them on the same link, and is acknowledged by itself.
     fn adopted(&mut self, key: LinkKey) {
         let Some(link) = self.links.get_mut(&key) else {
@@ -269,13 +264,13 @@
         for nonce in settled {
             if let Some(settling) = self.settling.get_mut(&nonce) {
                 settling.acked.push(key.1);
-                self.try_vouch(nonce);
+                self.try_acknowledge(nonce);
             }
         }
     }
 
     /// A bill that all its witnesses have may go to the log, and its verdict to the caller.
-    pub(super) fn try_vouch(&mut self, nonce: u64) {
+    pub(super) fn try_acknowledge(&mut self, nonce: u64) {
         let Some(settling) = self.settling.get(&nonce) else {
             return;
         };
@@ -287,7 +282,7 @@
             return;
         };
         if let Some(billed) = settling.billed {
-            self.holder.vouch(settling.budget, billed);
+            self.holder.acknowledge(settling.budget, billed);
         }
         if let Some((ticket, verdict)) = settling.verdict {
             self.finish(ticket, verdict);
@@ -298,7 +293,7 @@
     pub(super) fn recheck_witnesses(&mut self) {
         let nonces: Vec<u64> = self.settling.keys().copied().collect();
         for nonce in nonces {
-            self.try_vouch(nonce);
+            self.try_acknowledge(nonce);
         }
         let opening = self.jobs.values().filter(|job| job.stage == Stage::Opening);
         let tickets: Vec<Ticket> = opening.map(|job| job.spec.ticket).collect();
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -22,13 +22,14 @@
 use crate::router::request::Id;
 use crate::units::{Millis, Tokens};
 
-/// Times in a row that a broken stream is resumed without anything new.
+/// Times in a row that a broken stream is resumed without anything new. With 4, streams were given up
+/// within 0.2 s where timers run late (docs/FINDINGS.md, bad_streams).
 const RESUMES_MAX: u32 = 8;
-/// Wait before a stream is resumed; it doubles while nothing new comes.
+/// Wait before a stream is resumed; it doubles while nothing new comes. Not measured.
 const RESUME_WAIT: Duration = Duration::from_millis(50);
-/// Longest wait before a stream is resumed.
+/// Longest wait before a stream is resumed. Not measured.
 const RESUME_WAIT_MAX: Duration = Duration::from_millis(400);
-/// Connections kept to one target.
+/// Connections kept to one target. Not measured.
 const IDLE_MAX: usize = 64;
 /// Longest wait for the answer to a question about load or about a request. Not measured.
 const QUESTION_WAIT: Duration = Duration::from_secs(2);
@@ -158,11 +159,11 @@
             Ok(Err(_)) => return Err(broken),
             Ok(Ok(response)) => response,
         };
-        let vouched = response
+        let not_run = response
             .headers()
             .get(VERDICT)
             .is_some_and(|value| value == "not_run");
-        if vouched && !response.status().is_success() {
+        if not_run && !response.status().is_success() {
             return Err(End::Refused);
         }
         Ok(response)
--- a/src/router/http/reply.rs
+++ b/src/router/http/reply.rs
@@ -11,7 +11,7 @@
 use crate::router::request::{Id, Reason, Verdict};
 use crate::units::Millis;
 
-/// When to come back after a request that may have run, with the same id.
+/// When to come back after a request that may have run, with the same id. Not measured.
 const ASK_AGAIN: Millis = Millis(1_000);
 
 /// A JSON reply.
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,12 +1,12 @@
 //! The product's own interface: a router on each entry host, over a log service and a host list.
 //!
 //! Decisions are pure code ([`control`], and the aggregates in [`budget`], [`request`], [`pool`],
-//! [`host`], [`config`]); sockets, clocks and randomness stay at the edge ([`api`], [`http`], [`client`]
+//! [`host`], [`config`]); sockets, clocks and randomness stay at the edge (`api`, [`http`], `client`
 //! and the process). A gateway uses none of this.
 
-pub mod api;
+mod api;
 pub mod budget;
-pub mod client;
+pub(crate) mod client;
 pub mod config;
 pub mod control;
 mod core;
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -13,7 +13,7 @@
 use crate::router::intent::{Kind, Target};
 use crate::units::{Millis, Offset};
 
-/// A load report older than this counts for nothing.
+/// A load report older than this counts for nothing. Not measured.
 const REPORT_KEEP: Millis = Millis(5_000);
 
 /// A target's place in the pool of this process.
--- a/src/router/process.rs
+++ b/src/router/process.rs
@@ -20,7 +20,7 @@
 use crate::router::http::Headers;
 use crate::wire;
 
-/// How often a stopping router looks whether its streams have ended.
+/// How often a stopping router looks whether its streams have ended. Not measured.
 const STOP_POLL: Duration = Duration::from_millis(20);
 
 /// What a router is started with.
--- a/src/router/request/id.rs
+++ b/src/router/request/id.rs
@@ -13,9 +13,9 @@
 use crate::router::key::Incarnation;
 use crate::units::Millis;
 
-/// Uptime that an epoch spans.
+/// Uptime that an epoch spans. Not measured.
 pub const EPOCH_LENGTH: Millis = Millis(60_000);
-/// Epochs that ids and answers are kept for.
+/// Epochs that ids and answers are kept for. Not measured.
 pub const EPOCH_KEEP: u32 = 10;
 
 /// A request's id.
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -57,7 +57,7 @@
 pub struct Faults {
     /// Answers every request with an error, at once.
     pub failing: bool,
-    /// Share of requests that it refuses and vouches for not running, in thousandths.
+    /// Share of requests that it refuses and says it has not run, in thousandths.
     pub refuse_permille: u32,
     /// Share of streams that it cuts in the middle; they can be resumed. In thousandths.
     pub cut_permille: u32,
@@ -291,7 +291,7 @@
     }
 }
 
-/// The answer that vouches for a request's not having run.
+/// The answer that says that a request has not run.
 pub(super) fn not_run() -> Response {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     let value = http::HeaderValue::from_static("not_run");
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -26,7 +26,7 @@
     pub delay_ms: u64,
     /// Acts, and answers with an error.
     pub acts_and_fails: bool,
-    /// Refuses everything and vouches for not running it.
+    /// Refuses everything and says it has not run it.
     pub refuses: bool,
 }
 
--- a/src/wire/client.rs
+++ b/src/wire/client.rs
@@ -16,7 +16,7 @@
 use super::server::{WINDOW, collect};
 use crate::util;
 
-/// Longest wait for a connection, and for an answer, where nothing else is said.
+/// Longest wait for a connection, and for an answer, where nothing else is said. Not measured.
 const WAIT: Duration = Duration::from_millis(1_500);
 
 /// Why a peer gave no answer. Unless it says so, the question may have been taken.
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -88,7 +88,6 @@
     pub count: u64,
     pub verdicts: BTreeMap<&'static str, u64>,
     calm: bool,
-    witnessed: bool,
     traced: bool,
 }
 
@@ -119,7 +118,6 @@
             count: 0,
             verdicts: BTreeMap::new(),
             calm: false,
-            witnessed: true,
             traced: std::env::var_os("LANEDECK_TRACE").is_some(),
         };
         world.configure();
@@ -142,11 +140,6 @@
         world
     }
 
-    pub fn with_witnessed(mut self, witnessed: bool) -> Self {
-        self.witnessed = witnessed;
-        self
-    }
-
     fn after(&mut self, wait: u64, event: Event) {
         let key = self.next;
         self.next += 1;
@@ -258,7 +251,7 @@
             witness: None,
             applied: Offset(0),
         };
-        let mut settings = Settings::new(me, self.rng.random()).with_witnessed(self.witnessed);
+        let mut settings = Settings::new(me, self.rng.random());
         settings.checkpoint_every = 60;
         let hosts = (0..NODES).map(|one| (address(one, 8_000), false)).collect();
         let one = &mut self.nodes[node];
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -86,7 +86,7 @@
     }
     assert_eq!(area.ran().get(&id), Some(&1));
     area.settled("kiosks", 50);
-    // One that vouches for not having run it is believed.
+    // One that says it has not run it is believed.
     area.faults(&area.services[0], &json!({"refuses": true}));
     let answer = area.send(Method::POST, to, path, &key("kiosks"), &[], "refund");
     assert_eq!(answer.header("lanedeck-verdict"), "not_run", "{answer:?}");
