--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -316,11 +316,14 @@
 }
 
 async fn serve(checked: Checked, args: Vec<String>, adapter: Adapter) -> Result<()> {
-    let front = bind("front", checked.settings.me.front).await?;
+    let callers = bind("front", checked.settings.me.front).await?;
     let link = bind("link", checked.settings.me.link).await?;
-    let ready = bind("ready", checked.ready).await?;
-    let directory = bind("directory", checked.directory).await?;
-    let metrics = bind("metrics", checked.metrics).await?;
+    let listeners = gateway::Listeners {
+        callers,
+        ready: bind("ready", checked.ready).await?,
+        directory: bind("directory", checked.directory).await?,
+        metrics: bind("metrics", checked.metrics).await?,
+    };
     let dialect = adapter.dialect.clone();
     let store = (adapter.store)(checked.store);
     let in_force = checked.in_force.replace('\n', " ");
@@ -331,13 +334,10 @@
     };
     let options = gateway::Options {
         settings: checked.settings,
-        front,
+        listeners,
         link,
         fleet_key: checked.fleet_key,
         partitions: checked.partitions,
-        ready,
-        directory,
-        metrics: Some(metrics),
         address_ttl: checked.address_ttl,
         grace: checked.grace,
         dialect,
--- a/src/cmd/settings.rs
+++ b/src/cmd/settings.rs
@@ -147,9 +147,7 @@
     where
         T: FromStr + PartialOrd + fmt::Display,
     {
-        let wanted = format!("{least} to {most}");
-        let fits = |number: &T| (&least..=&most).contains(&number);
-        self.take(name, value, &wanted, fits)
+        self.within(name, value, "", least, most)
     }
 
     /// Reads a whole number with its bounds.
@@ -157,7 +155,14 @@
     where
         T: FromStr + PartialOrd + fmt::Display,
     {
-        let wanted = format!("a whole number from {least} to {most}");
+        self.within(name, value, "a whole number from ", least, most)
+    }
+
+    fn within<T>(&mut self, name: &str, value: &str, kind: &str, least: T, most: T) -> Option<T>
+    where
+        T: FromStr + PartialOrd + fmt::Display,
+    {
+        let wanted = format!("{kind}{least} to {most}");
         let fits = |number: &T| (&least..=&most).contains(&number);
         self.take(name, value, &wanted, fits)
     }
--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -19,7 +19,8 @@
 /// Pause after a read that failed. Not measured.
 const FAILED_PAUSE: Duration = Duration::from_millis(150);
 /// How long a target that is not listed any more still counts after the store is back: its entry may
-/// have lapsed because it could not write either. Targets that live are back within about two seconds.
+/// have lapsed because it could not write either. Targets that live are back within about two seconds;
+/// the next read comes [`TARGETS_INTERVAL`] later.
 const LAPSED_GRACE: Duration = Duration::from_millis(1_700);
 
 /// A place in a partition that is followed.
--- a/src/gateway/control/grants.rs
+++ b/src/gateway/control/grants.rs
@@ -122,7 +122,7 @@
 pub(super) async fn give_back(control: &Rc<Control>) {
     control.shared.set_gives_back();
     let unused = control.state.borrow_mut().take_unused();
-    let gifts = loans::give_all(control, unused);
+    let transfers = loans::transfer_all(control, unused);
     let partitions: Vec<u32> = control.renewals.borrow().keys().copied().collect();
     let rows = partitions.into_iter().map(|partition| {
         let control = Rc::clone(control);
@@ -134,7 +134,7 @@
             }
         }
     });
-    futures::future::join(gifts, futures::future::join_all(rows)).await;
+    futures::future::join(transfers, futures::future::join_all(rows)).await;
 }
 
 /// Reads and writes until nobody else has written in between.
--- a/src/gateway/control/loans.rs
+++ b/src/gateway/control/loans.rs
@@ -122,21 +122,21 @@
     loop {
         sleep(GIVE_BACK_INTERVAL).await;
         let excess = control.state.borrow_mut().take_excess(control.now());
-        give_all(&control, excess).await;
+        transfer_all(&control, excess).await;
     }
 }
 
 /// Gives tokens to routers that hold the customers' grants.
-pub(super) async fn give_all(control: &Control, tokens: Vec<(String, Tokens)>) {
-    let gifts = tokens.into_iter().map(|(customer, tokens)| {
+pub(super) async fn transfer_all(control: &Control, tokens: Vec<(String, Tokens)>) {
+    let transfers = tokens.into_iter().map(|(customer, tokens)| {
         let to = lenders(control, &customer).first().copied();
-        give(control, customer, tokens, to)
+        transfer(control, customer, tokens, to)
     });
-    futures::future::join_all(gifts).await;
+    futures::future::join_all(transfers).await;
 }
 
 /// Gives tokens to another router. Without an answer it may have them, so they are lost here.
-async fn give(control: &Control, customer: String, tokens: Tokens, to: Option<SocketAddr>) {
+async fn transfer(control: &Control, customer: String, tokens: Tokens, to: Option<SocketAddr>) {
     let Some(to) = to else {
         control.state.borrow_mut().borrow(&customer, tokens);
         return;
--- a/src/gateway/decision/grant.rs
+++ b/src/gateway/decision/grant.rs
@@ -8,7 +8,7 @@
 use crate::units::{Millis, Tokens};
 
 /// Changes of less than one part in this many of the prepaid budget are not written on their own:
-/// each write is a call to the store, which has a price. Not measured.
+/// each write is a call to the store, which costs money. Not measured.
 const CHANGE_DIVISOR: u64 = 1_000;
 
 /// A lender that has this many times what is wanted lends more than is lacking. Not measured.
--- a/src/gateway/decision/placement.rs
+++ b/src/gateway/decision/placement.rs
@@ -10,8 +10,8 @@
 
 use crate::gateway::key::TargetKey;
 
-/// Cost of another hall to a plain request, in requests that run at the target. Not measured: it makes
-/// traffic between halls, which has a price, the exception.
+/// Cost of another hall to a plain request, in requests that run at the target. Not measured:
+/// traffic between halls costs money, so it is the exception.
 const HALL_REQUESTS: f64 = 1.5;
 /// Cost of another hall to a model request, in tokens. Not measured, for the same reason.
 const HALL_TOKENS: f64 = 150.0;
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -31,4 +31,4 @@
 mod stream;
 pub mod targets;
 
-pub use process::{Options, run};
+pub use process::{Listeners, Options, run};
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -17,6 +17,7 @@
 use super::decision::admission::Stop;
 use super::dialect::Dialect;
 use super::listener::{Endpoint, serve};
+use super::members::Router;
 use super::relay::Relay;
 use super::shared::Shared;
 use super::state::Settings;
@@ -38,24 +39,30 @@
 /// Interval at which connections to targets that are gone are closed.
 const SWEEP_GAP: Duration = Duration::from_secs(2);
 
+/// The listeners of a gateway, but for the one of its link.
+pub struct Listeners {
+    /// For callers' requests.
+    pub callers: TcpListener,
+    /// For questions about readiness.
+    pub ready: TcpListener,
+    /// For questions about addresses.
+    pub directory: TcpListener,
+    /// For metrics.
+    pub metrics: TcpListener,
+}
+
 /// What a gateway is started with.
 pub struct Options {
     /// Settings of the control state.
     pub settings: Settings,
-    /// For callers.
-    pub front: TcpListener,
-    /// For other routers.
+    /// Bound for callers and for questions.
+    pub listeners: Listeners,
+    /// Bound for other routers.
     pub link: TcpListener,
     /// What routers of this fleet show each other.
     pub fleet_key: String,
     /// Partitions of the store that customers are spread over.
     pub partitions: u32,
-    /// For questions about readiness.
-    pub ready: TcpListener,
-    /// For questions about addresses.
-    pub directory: TcpListener,
-    /// For metrics, where they are wanted.
-    pub metrics: Option<TcpListener>,
     /// How long callers may use an answer about addresses.
     pub address_ttl: Millis,
     /// Longest time to stop.
@@ -82,46 +89,30 @@
     let (sender, messages) = mpsc::unbounded_channel();
     let shared = Arc::new(Shared::default());
     shared.set_caller_addresses(vec![options.settings.me.front]);
-    tracing::info!(
-        event = "started",
-        name = %options.settings.me.name,
-        incarnation = options.settings.me.incarnation,
-        front = %options.settings.me.front,
-        hall = %options.settings.me.hall
-    );
-    let dialect = Arc::clone(&options.dialect);
+    log_start(&options.settings.me);
+    let relay = Arc::new(Relay {
+        shared: Arc::clone(&shared),
+        controller: Controller::new(sender),
+        dialect: options.dialect,
+        pool: Pool::default(),
+    });
     control::spawn(control::Parts {
         settings: options.settings,
         shared: Arc::clone(&shared),
         store: options.store,
-        dialect: Arc::clone(&dialect),
+        dialect: Arc::clone(&relay.dialect),
         link: options.link.into_std()?,
         fleet_key: options.fleet_key,
         partitions: options.partitions,
         messages,
     });
-    let controller = Controller::new(sender);
-    let relay = Arc::new(Relay {
-        shared: Arc::clone(&shared),
-        controller: controller.clone(),
-        dialect: Arc::clone(&dialect),
-        pool: Pool::default(),
-    });
-    let open = |listener, endpoint| tokio::spawn(serve(listener, Arc::clone(&shared), endpoint));
-    open(options.front, Endpoint::Callers(Arc::clone(&relay)));
-    open(
-        options.ready,
-        Endpoint::Ready(Arc::clone(&shared), Arc::clone(&dialect)),
+    listen(
+        &relay,
+        options.listeners,
+        options.address_ttl,
+        options.dropped,
     );
-    let directory = Endpoint::Directory(Arc::clone(&shared), dialect, options.address_ttl);
-    open(options.directory, directory);
-    if let Some(listener) = options.metrics {
-        open(
-            listener,
-            Endpoint::Metrics(Arc::clone(&shared), options.dropped),
-        );
-    }
-    tokio::spawn(sweep(relay));
+    tokio::spawn(sweep(Arc::clone(&relay)));
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -132,10 +123,34 @@
             },
         }
     }
-    stop(&shared, &controller, options.address_ttl, options.grace).await;
+    let controller = &relay.controller;
+    stop(&shared, controller, options.address_ttl, options.grace).await;
     Ok(())
 }
 
+fn log_start(me: &Router) {
+    tracing::info!(
+        event = "started",
+        name = %me.name,
+        incarnation = me.incarnation,
+        front = %me.front,
+        hall = %me.hall
+    );
+}
+
+/// Serves all listeners until the process ends.
+fn listen(relay: &Arc<Relay>, listeners: Listeners, address_ttl: Millis, dropped: fn() -> u64) {
+    let (shared, dialect) = (&relay.shared, &relay.dialect);
+    let open = |listener, endpoint| tokio::spawn(serve(listener, Arc::clone(shared), endpoint));
+    open(listeners.callers, Endpoint::Callers(Arc::clone(relay)));
+    let ready = Endpoint::Ready(Arc::clone(shared), Arc::clone(dialect));
+    open(listeners.ready, ready);
+    let directory = Endpoint::Directory(Arc::clone(shared), Arc::clone(dialect), address_ttl);
+    open(listeners.directory, directory);
+    let metrics = Endpoint::Metrics(Arc::clone(shared), dropped);
+    open(listeners.metrics, metrics);
+}
+
 async fn sweep(relay: Arc<Relay>) {
     loop {
         sleep(SWEEP_GAP).await;
--- a/src/gateway/route/config.rs
+++ b/src/gateway/route/config.rs
@@ -75,7 +75,7 @@
     pub kind: Kind,
     /// Longest time that a request is held.
     pub timeout: Millis,
-    /// Time to the first byte of an answer within which it is worth most.
+    /// Time to the first byte of an answer that the route aims at.
     pub latency_objective: Millis,
     /// Targets that one request may be sent to, at least 1.
     pub attempts: u32,
@@ -131,6 +131,7 @@
     pub idle_time: Millis,
 }
 
+/// The bounds where a configuration gives none.
 impl Default for Limits {
     fn default() -> Self {
         Self {
--- a/src/gateway/sse.rs
+++ b/src/gateway/sse.rs
@@ -69,7 +69,7 @@
     let line = event
         .split(|byte| *byte == b'\n')
         .find_map(|line| line.strip_prefix(b"id:"))?;
-    // An id that is no text cannot be told to another target; the stream then starts over there.
+    // An id that is no text fits in no header; the last one that is stands.
     std::str::from_utf8(line)
         .ok()
         .map(|id| id.trim().to_owned())
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::account::{Budget, Grant, PREPAID_MAX};
-use crate::router::intent::{Change, Outcome, Outcomes, Plan, Refused, Terms};
+use crate::router::intent::{Change, Outcomes, Plan, Refused, Terms};
 use crate::router::key::{BudgetKey, Incarnation};
 use crate::router::log::{Closed, Fold, Record, Sequence, Violation};
 use crate::units::{Offset, Tokens};
@@ -93,11 +93,8 @@
     }
 
     fn confirm(&mut self, offset: Offset, plan: &Plan) -> Result<(), Violation> {
-        if self.outcomes.get(plan.id).is_some() {
-            return Ok(());
-        }
-        if let Err(refused) = self.judge(plan) {
-            self.outcomes.note(plan.id, Outcome::Refused(refused));
+        let judged = self.judge(plan);
+        if !self.outcomes.take(plan.id, offset, judged) {
             return Ok(());
         }
         let mut result = Ok(());
@@ -118,7 +115,6 @@
                 result = result.and(self.check(index));
             }
         }
-        self.outcomes.note(plan.id, Outcome::InForce(offset));
         result
     }
 
--- a/src/router/config/fold.rs
+++ b/src/router/config/fold.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::router::intent::{
-    Change, Class, Customer, Key, Kind, Object, Objective, Outcome, Outcomes, Plan, Refused, Target,
+    Change, Class, Customer, Key, Kind, Object, Objective, Outcomes, Plan, Refused, Target,
 };
 use crate::router::key::Incarnation;
 use crate::router::log::{Fold, Record, Sequence, Violation};
@@ -109,11 +109,8 @@
     }
 
     fn confirm(&mut self, offset: Offset, plan: &Plan) {
-        if self.outcomes.get(plan.id).is_some() {
-            return;
-        }
-        if let Err(refused) = self.judge(plan) {
-            self.outcomes.note(plan.id, Outcome::Refused(refused));
+        let judged = self.judge(plan);
+        if !self.outcomes.take(plan.id, offset, judged) {
             return;
         }
         for change in &plan.changes {
@@ -131,7 +128,6 @@
                 Change::Budget { .. } | Change::Release { .. } => {}
             }
         }
-        self.outcomes.note(plan.id, Outcome::InForce(offset));
     }
 }
 
--- a/src/router/http/chat.rs
+++ b/src/router/http/chat.rs
@@ -163,13 +163,7 @@
             },
             ..Choice::default()
         };
-        Self {
-            id: id.to_owned(),
-            attempt,
-            index,
-            choices: vec![choice],
-            usage: None,
-        }
+        Self::new(id, attempt, index, choice, None)
     }
 
     /// The last frame, after `index` words.
@@ -178,16 +172,21 @@
             finish_reason: Some("length".to_owned()),
             ..Choice::default()
         };
+        let usage = Usage {
+            prompt_tokens,
+            completion_tokens: index,
+            total_tokens: prompt_tokens + index,
+        };
+        Self::new(id, attempt, index, choice, Some(usage))
+    }
+
+    fn new(id: &str, attempt: u32, index: u64, choice: Choice, usage: Option<Usage>) -> Self {
         Self {
             id: id.to_owned(),
             attempt,
             index,
             choices: vec![choice],
-            usage: Some(Usage {
-                prompt_tokens,
-                completion_tokens: index,
-                total_tokens: prompt_tokens + index,
-            }),
+            usage,
         }
     }
 
@@ -197,6 +196,6 @@
             .choices
             .first()
             .and_then(|choice| choice.delta.content.as_deref());
-        content.unwrap_or_default()
+        content.unwrap_or("")
     }
 }
--- a/src/router/intent/plan.rs
+++ b/src/router/intent/plan.rs
@@ -102,8 +102,22 @@
         self.by_plan.get(&id).copied()
     }
 
+    /// Takes a confirmed plan at an offset, as it was judged; whether its changes are to be made. A
+    /// plan that is known counts once.
+    pub fn take(&mut self, id: PlanId, offset: Offset, judged: Result<(), Refused>) -> bool {
+        if self.by_plan.contains_key(&id) {
+            return false;
+        }
+        let outcome = match judged {
+            Ok(()) => Outcome::InForce(offset),
+            Err(refused) => Outcome::Refused(refused),
+        };
+        self.note(id, outcome);
+        judged.is_ok()
+    }
+
     /// Notes an outcome; the oldest is forgotten.
-    pub fn note(&mut self, id: PlanId, outcome: Outcome) {
+    fn note(&mut self, id: PlanId, outcome: Outcome) {
         self.by_plan.insert(id, outcome);
         self.order.push_back(id);
         if self.order.len() > OUTCOMES_MAX
