--- a/src/cmd/load.rs
+++ b/src/cmd/load.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 
-use self::caller::{Caller, Job, Plan};
+use self::caller::{Caller, Job, Settings};
 use self::tally::Tally;
 use super::client::{Client, addresses};
 use super::{Error, Result, block_on, print, usage};
@@ -114,14 +114,14 @@
 }
 
 async fn drive(args: &Args, entries: Vec<SocketAddr>) -> Result<Tally> {
-    let plan = Plan {
+    let settings = Settings {
         model: args.model.clone(),
         service: args.service.clone(),
         tokens: args.tokens,
         tries: args.tries,
         wait_max: Duration::from_millis(args.wait_max),
     };
-    let caller = Caller::new(Client::new(&args.key), entries, plan).await?;
+    let caller = Caller::new(Client::new(&args.key), entries, settings).await?;
     let caller = Arc::new(caller);
     let room = Arc::new(Semaphore::new(args.callers.max(1)));
     let mut tasks = JoinSet::new();
--- a/src/cmd/load/caller.rs
+++ b/src/cmd/load/caller.rs
@@ -24,7 +24,7 @@
 const TRY_WAIT: Duration = Duration::from_secs(60);
 
 /// What all requests of a run have in common.
-pub struct Plan {
+pub struct Settings {
     pub model: String,
     pub service: Option<String>,
     pub tokens: u64,
@@ -75,18 +75,18 @@
 pub struct Caller {
     client: Client,
     entries: Vec<SocketAddr>,
-    plan: Plan,
+    settings: Settings,
     known: Mutex<(Entry, Instant)>,
 }
 
 impl Caller {
     /// A caller that has asked for its first entry answer.
-    pub async fn new(client: Client, entries: Vec<SocketAddr>, plan: Plan) -> Result<Self> {
+    pub async fn new(client: Client, entries: Vec<SocketAddr>, settings: Settings) -> Result<Self> {
         let entry = ask(&client, &entries).await?;
         Ok(Self {
             client,
             entries,
-            plan,
+            settings,
             known: Mutex::new((entry, Instant::now())),
         })
     }
@@ -131,7 +131,7 @@
     async fn tries(&self, job: &Job, entry: &Entry, home: SocketAddr, record: &mut Record) {
         let mut to = home;
         let mut turn = 0;
-        while record.tries < self.plan.tries {
+        while record.tries < self.settings.tries {
             record.tries += 1;
             let start = Instant::now();
             let one = tokio::time::timeout(TRY_WAIT, self.once(job, to, &record.id)).await;
@@ -170,7 +170,7 @@
                     Duration::from_millis(200)
                 }
             };
-            tokio::time::sleep(wait.min(self.plan.wait_max)).await;
+            tokio::time::sleep(wait.min(self.settings.wait_max)).await;
             // Home first and last; others in between, which can take over if home is gone.
             turn += 1;
             let others = &entry.addresses;
@@ -183,9 +183,9 @@
 
     fn body(&self, job: &Job) -> Bytes {
         json!({
-            "model": self.plan.model,
+            "model": self.settings.model,
             "messages": [{ "role": "user", "content": job.text }],
-            "max_tokens": self.plan.tokens,
+            "max_tokens": self.settings.tokens,
             "stream": true,
         })
         .to_string()
@@ -194,7 +194,7 @@
 
     async fn once(&self, job: &Job, to: SocketAddr, id: &str) -> Try {
         let mut headers = vec![(REQUEST_ID, id)];
-        match (&self.plan.service, job.service) {
+        match (&self.settings.service, job.service) {
             (Some(service), true) => {
                 headers.push((REPEATABLE, "no"));
                 self.call_service(job, to, service, &headers).await
--- a/src/router/budget/holder.rs
+++ b/src/router/budget/holder.rs
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage(pub Tokens);
 
-/// A request's place in its holder's books.
+/// A request's place in its holder's accounts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
     Open(Tokens),
@@ -43,7 +43,7 @@
     }
 }
 
-/// The books of one incarnation.
+/// The accounts of one incarnation.
 #[derive(Clone, Debug)]
 pub struct Holder {
     me: Incarnation,
@@ -52,7 +52,7 @@
 }
 
 impl Holder {
-    /// Empty books.
+    /// Empty accounts.
     pub fn new(me: Incarnation, sizing: Sizing) -> Self {
         Self {
             me,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whose books these are.
+    /// Whose accounts these are.
     pub fn me(&self) -> Incarnation {
         self.me
     }
@@ -220,7 +220,7 @@
         settled
     }
 
-    /// Budgets that these books name.
+    /// Budgets that these accounts name.
     pub fn keys(&self) -> Vec<BudgetKey> {
         self.accounts.keys().copied().collect()
     }
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -302,7 +302,7 @@
                 result.and(self.check_all())
             }
             // Only the witness that closed the holder judges its requests: an earlier one, with old
-            // books, may think that it still does.
+            // accounts, may think that it still does.
             Record::Resolve {
                 holder,
                 nonce,
--- a/src/router/budget/ward.rs
+++ b/src/router/budget/ward.rs
@@ -32,7 +32,7 @@
 }
 
 impl Ward {
-    /// A holder's books, for a new witness: totals, open requests, settled requests.
+    /// A holder's accounts, for a new witness: totals, open requests, settled requests.
     pub fn new(
         totals: &[(BudgetKey, Tokens)],
         open: &[(BudgetKey, u64, Reservation)],
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -83,7 +83,7 @@
     last: (u64, Vec<Answer>),
     heard: Millis,
     closed: Option<Millis>,
-    /// The books at the close, as the close records tell them.
+    /// The accounts at the close, as the close records tell them.
     report: Vec<Closed>,
     /// Bills, decided since the close, that the log may not have yet.
     resolved: Vec<Resolved>,
@@ -101,7 +101,7 @@
 }
 
 impl Witness {
-    /// Becomes a holder's witness, with its books so far.
+    /// Becomes a holder's witness, with its accounts so far.
     pub fn adopt(&mut self, now: Millis, holder: Incarnation, ward: Ward) -> Answer {
         match self.wards.get_mut(&holder) {
             Some(held) if held.closed.is_some() => Answer::Closed { billed: false },
@@ -244,7 +244,7 @@
             .collect()
     }
 
-    /// What the close record says of a holder's budgets in one shard: the books at the close,
+    /// What the close record says of a holder's budgets in one shard: the accounts at the close,
     /// however late it is written. What is decided since follows in resolve records.
     pub fn report(&self, holder: Incarnation, shard: u8) -> Vec<Closed> {
         let report = self.wards.get(&holder).map(|held| held.report.iter());
--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -149,7 +149,7 @@
     },
     /// A target has told that a request in doubt is done.
     Fate {
-        /// The request in its holder's books.
+        /// The request in its holder's accounts.
         id: Id,
         /// Tokens used, before the price.
         used: Tokens,
@@ -194,7 +194,7 @@
     Forget(Vec<Ticket>),
     /// Notice a target what became of a request in doubt.
     Inquire {
-        /// The request in its holder's books.
+        /// The request in its holder's accounts.
         id: Id,
         /// Its id as the target knows it.
         request: Id,
--- a/src/router/control/decision/retry.rs
+++ b/src/router/control/decision/retry.rs
@@ -30,7 +30,7 @@
     pub failure: Failure,
     /// Dispatches so far.
     pub attempts: u32,
-    /// Whether its reservation is in the books of this incarnation; an earlier one's are closed.
+    /// Whether its reservation is in the accounts of this incarnation; an earlier one's are closed.
     pub is_own: bool,
 }
 
--- a/src/router/control/job.rs
+++ b/src/router/control/job.rs
@@ -33,7 +33,7 @@
     pub price_permille: u32,
     pub arrived: Millis,
     pub budget: BudgetKey,
-    /// Its number in this router's own books; differs from the caller's in a takeover.
+    /// Its number in this router's own accounts; differs from the caller's in a takeover.
     pub nonce: u64,
     /// The most tokens that it can use, before the price.
     pub max_tokens: Tokens,
@@ -43,7 +43,7 @@
     pub doubted: bool,
     /// Tokens seen of an attempt that broke off.
     pub seen: Option<Tokens>,
-    /// The incarnation whose books it is in.
+    /// The incarnation whose accounts it is in.
     pub holder: Incarnation,
     /// Witnesses that have its reservation.
     pub opened: Vec<Incarnation>,
--- a/src/router/control/link.rs
+++ b/src/router/control/link.rs
@@ -30,9 +30,9 @@
     flight: Option<Flight>,
     /// When the last call that was answered had been sent.
     pub heard: Millis,
-    /// Whether the witness has taken the books.
+    /// Whether the witness has taken the accounts.
     pub adopted: bool,
-    /// Requests that stood open in the books when they were made.
+    /// Requests that stood open in the accounts when they were made.
     pub open: Vec<u64>,
     /// Requests that stood settled in them, and were not yet acknowledged.
     pub settled: Vec<u64>,
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -8,10 +8,10 @@
 use crate::units::{Millis, Tokens};
 
 /// Time between two rounds of settlement records, in a small fleet. Not measured.
-const BOOKS_EVERY: Millis = Millis(1_000);
+const MAINTENANCE_INTERVAL: Millis = Millis(1_000);
 /// What each other router adds to it, so that the fleet's appends stay within what the log takes:
 /// 57 appends/s instead of 93 with 32 routers (docs/CAPACITY.md, slopes).
-const BOOKS_PER_PEER: Millis = Millis(20);
+const MAINTENANCE_PER_PEER: Millis = Millis(20);
 /// A budget is asked for again after this long at the earliest. Not measured.
 const ASK_AGAIN: Millis = Millis(300);
 /// A grant is asked for before it runs out within this span. Not measured.
@@ -78,13 +78,13 @@
     }
 
     /// Writes settlements down, asks ahead of demand, and gives back what others lack.
-    pub(super) fn keep_books(&mut self) {
+    pub(super) fn maintain_accounts(&mut self) {
         let peers = self.membership.well(self.now).len() as u64;
-        let every = BOOKS_EVERY + Millis(BOOKS_PER_PEER.0 * peers);
-        if self.now < self.last_books + every {
+        let every = MAINTENANCE_INTERVAL + Millis(MAINTENANCE_PER_PEER.0 * peers);
+        if self.now < self.last_maintenance + every {
             return;
         }
-        self.last_books = self.now;
+        self.last_maintenance = self.now;
         self.write_settlements();
         for key in self.holder.keys() {
             self.ask_ahead(key, LOW_WITHIN + every);
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -101,7 +101,7 @@
         self.send_heartbeats();
     }
 
-    /// Ends the process once nothing is in progress and the log has its books.
+    /// Ends the process once nothing is in progress and the log has its accounts.
     pub(super) fn finish_stop(&mut self) {
         if !self.stopping || self.exited || !self.jobs.is_empty() {
             self.stopping_since = self.now;
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -22,7 +22,7 @@
 };
 use crate::units::{Millis, Offset};
 
-/// Numbers in our books of requests that were taken over start here. Those of callers are below
+/// Numbers in our accounts of requests that were taken over start here. Those of callers are below
 /// 2^31, and those that the caller's side gives to requests without an id lie between.
 pub(super) const OWN_NUMBERS: u32 = 3 << 30;
 
@@ -110,7 +110,7 @@
     pub(super) links: BTreeMap<LinkKey, Link>,
     pub(super) link_count: u32,
     pub(super) settling: BTreeMap<u64, Settling>,
-    /// Requests that earlier incarnations of this process left running, by id in their books.
+    /// Requests that earlier incarnations of this process left running, by id in their accounts.
     pub(super) late: BTreeMap<Id, Settling>,
     pub(super) witness: Witness,
     pub(super) scarce_seen: HashMap<BudgetKey, Offset>,
@@ -135,7 +135,7 @@
     pub(super) left: bool,
     pub(super) exited: bool,
     pub(super) last_beat: Millis,
-    pub(super) last_books: Millis,
+    pub(super) last_maintenance: Millis,
     pub(super) last_prune: Millis,
     pub(super) last_peer_state: Millis,
     pub(super) last_inquiry: Millis,
@@ -189,7 +189,7 @@
             left: false,
             exited: false,
             last_beat: Millis::ZERO,
-            last_books: Millis::ZERO,
+            last_maintenance: Millis::ZERO,
             last_prune: now,
             last_peer_state: now,
             last_inquiry: now,
@@ -233,7 +233,7 @@
         self.watch_witness();
         self.watch_wards();
         self.inquire();
-        self.keep_books();
+        self.maintain_accounts();
         self.expire_confirms();
         self.write_checkpoints();
         self.send_heartbeats();
@@ -275,7 +275,7 @@
         u32::try_from(epochs + 1).unwrap_or(u32::MAX)
     }
 
-    /// A number for a request that has none of its own in our books.
+    /// A number for a request that has none of its own in our accounts.
     pub(super) fn own_nonce(&mut self) -> u64 {
         self.next_number = self.next_number.checked_add(1).unwrap_or(OWN_NUMBERS);
         self.prefix().with_number(self.next_number).nonce
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -91,7 +91,7 @@
         if let Some(witness) = chosen {
             self.link_count += 1;
             let mut link = Link::new(self.now, me, witness, self.link_count);
-            link.push(Notice::Adopt(self.books()));
+            link.push(Notice::Adopt(self.ward()));
             link.open = self.by_nonce.keys().copied().collect();
             link.settled = self.settling.keys().copied().collect();
             self.links.insert((me, witness), link);
@@ -99,7 +99,7 @@
         self.membership.me_mut().witness = chosen;
     }
 
-    fn books(&self) -> Ward {
+    fn ward(&self) -> Ward {
         let me = self.incarnation();
         let ours = self
             .by_nonce
@@ -249,7 +249,7 @@
         }
     }
 
-    /// A witness has the books, and with them all that was open or unacknowledged when they were
+    /// A witness has the accounts, and with them all that was open or unacknowledged when they were
     /// sent. What came later is behind them on the same link, and is acknowledged by itself.
     fn adopted(&mut self, key: LinkKey) {
         let Some(link) = self.links.get_mut(&key) else {
--- a/src/router/http/entry.rs
+++ b/src/router/http/entry.rs
@@ -6,7 +6,7 @@
 
 /// One address of an entry answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Use {
+pub struct Address {
     /// Where to connect.
     pub address: SocketAddr,
     /// What to make request ids of there: this, then eight hexadecimal digits of the caller's
@@ -19,7 +19,7 @@
 pub struct Entry {
     /// Best first.
     #[serde(rename = "use")]
-    pub addresses: Vec<Use>,
+    pub addresses: Vec<Address>,
     /// How long this may be kept, in milliseconds.
     pub keep_ms: u64,
 }
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -12,7 +12,7 @@
 /// What a holder asks of its witness.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
-    /// Be my witness; these are my books.
+    /// Be my witness; these are my accounts.
     Adopt(Ward),
     /// I am about to dispatch a request.
     Open {
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -13,7 +13,7 @@
 use crate::router::config::Config;
 use crate::router::control::{Action, Input, Spec, Token};
 use crate::router::http::answer::{Answer, Answers};
-use crate::router::http::entry::Use;
+use crate::router::http::entry::Address;
 use crate::router::key::Incarnation;
 use crate::router::message::{Reply, Request};
 use crate::router::report::{Metrics, Trail};
@@ -120,14 +120,14 @@
     }
 
     /// Addresses that a customer should use.
-    pub async fn entries(&self, customer: String) -> Option<Vec<Use>> {
+    pub async fn entries(&self, customer: String) -> Option<Vec<Address>> {
         match self.ask(|token| Input::Entry { token, customer }).await {
             Some(Action::Entries { entries, .. }) => {
-                let uses = entries.into_iter().map(|(address, prefix)| Use {
+                let addresses = entries.into_iter().map(|(address, prefix)| Address {
                     address,
                     prefix: prefix.to_string(),
                 });
-                Some(uses.collect())
+                Some(addresses.collect())
             }
             _ => None,
         }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -154,8 +154,8 @@
     }
 
     async fn chat(&self, headers: &HeaderMap, body: &Bytes) -> Response {
-        let order = match Order::read(headers) {
-            Ok(order) => order,
+        let dispatch = match Dispatch::read(headers) {
+            Ok(dispatch) => dispatch,
             Err(why) => return json(StatusCode::BAD_REQUEST, &why),
         };
         let call = match chat::parse(body) {
@@ -166,13 +166,14 @@
         if faults.failing {
             return empty(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        if rand::rng().random_range(0..1_000) < faults.refuse_permille || self.is_stale(order.fence)
+        if rand::rng().random_range(0..1_000) < faults.refuse_permille
+            || self.is_stale(dispatch.fence)
         {
             return not_run();
         }
         let prompt = call.prompt();
-        let run = self.begin(&order, &prompt, call.max_tokens).await;
-        self.stream(order.id, run, 0)
+        let run = self.begin(&dispatch, &prompt, call.max_tokens).await;
+        self.stream(dispatch.id, run, 0)
     }
 
     fn is_stale(&self, fence: Option<u64>) -> bool {
@@ -185,21 +186,21 @@
         stale
     }
 
-    async fn begin(&self, order: &Order, prompt: &str, tokens: u64) -> Run {
+    async fn begin(&self, dispatch: &Dispatch, prompt: &str, tokens: u64) -> Run {
         lock(&self.inner).running += 1;
         let permit = Arc::clone(&self.slots).acquire_owned().await;
         let mut inner = lock(&self.inner);
         let slow = inner.faults.slow.max(1);
         let run = Run {
             prompt: prompt.to_owned(),
-            attempt: order.attempt,
+            attempt: dispatch.attempt,
             tokens,
             prompt_tokens: (prompt.len() as u64).div_ceil(4),
             start: Instant::now() + self.shape.first * slow,
             between: self.shape.between * slow,
         };
-        *inner.ran.entry(order.id.clone()).or_default() += 1;
-        inner.runs.insert(order.id.clone(), run.clone());
+        *inner.ran.entry(dispatch.id.clone()).or_default() += 1;
+        inner.runs.insert(dispatch.id.clone(), run.clone());
         drop(inner);
         let end = run.at(run.tokens);
         let state = Arc::clone(&self.inner);
@@ -302,14 +303,14 @@
 }
 
 /// What a router's headers say.
-pub(super) struct Order {
+pub(super) struct Dispatch {
     pub id: String,
     pub attempt: u32,
     /// None in a call that does not come from a router.
     pub fence: Option<u64>,
 }
 
-impl Order {
+impl Dispatch {
     pub fn read(headers: &HeaderMap) -> Result<Self, String> {
         let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
         let number = |name: &str| text(name).and_then(|text| text.parse::<u64>().ok());
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -13,7 +13,7 @@
 use volo_http::server::route::{get, post};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::engine::{Order, not_run};
+use super::engine::{Dispatch, not_run};
 use super::{empty, json, lock, set_faults};
 use crate::router::http::Headers;
 use crate::router::http::relay::{Fate, Load};
@@ -82,8 +82,8 @@
     }
 
     async fn call(&self, headers: &HeaderMap, body: &Bytes) -> Response {
-        let order = match Order::read(headers) {
-            Ok(order) => order,
+        let dispatch = match Dispatch::read(headers) {
+            Ok(dispatch) => dispatch,
             Err(why) => return json(StatusCode::BAD_REQUEST, &why),
         };
         let faults = {
@@ -91,7 +91,7 @@
             if inner.faults.refuses {
                 return not_run();
             }
-            *inner.ran.entry(order.id.clone()).or_default() += 1;
+            *inner.ran.entry(dispatch.id.clone()).or_default() += 1;
             inner.running += 1;
             inner.faults
         };
@@ -100,12 +100,12 @@
         if faults.acts_and_fails {
             return empty(StatusCode::INTERNAL_SERVER_ERROR);
         }
-        let value = http::HeaderValue::from_str(&order.id);
+        let value = http::HeaderValue::from_str(&dispatch.id);
         let receipt = receipt(body);
         let mut response = json(
             StatusCode::OK,
             &Receipt {
-                request_id: order.id,
+                request_id: dispatch.id,
                 receipt,
             },
         );
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -10,7 +10,7 @@
 use lanedeck::router::config::{Config, Intent, Proposal};
 use lanedeck::router::control::{Status, StatusBudget, StatusPeer};
 use lanedeck::router::host::Peer;
-use lanedeck::router::http::entry::{Entry as EntryAnswer, Use};
+use lanedeck::router::http::entry::{Address, Entry as EntryAnswer};
 use lanedeck::router::http::{chat, reply};
 use lanedeck::router::intent::{
     Change, Class, Customer, Key, Kind, Object, Objective, Plan, Target, Terms,
@@ -494,7 +494,7 @@
 #[test]
 fn caller_json() {
     let entry = EntryAnswer {
-        addresses: vec![Use {
+        addresses: vec![Address {
             address: address(7_000),
             prefix: "p".to_owned(),
         }],
