--- a/src/gateway/control/apply.rs
+++ b/src/gateway/control/apply.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 
 use super::context::Control;
-use super::grants;
+use super::{grants, rows};
 use crate::gateway::members::{Router, Source};
 use crate::gateway::targets::{Change, View};
 use crate::store::{KEY_MAX, Page, Record};
@@ -32,7 +32,7 @@
             continue;
         };
         let name = &customer.name;
-        let key_length = grants::row_key(name, &state.members.me.name).len();
+        let key_length = rows::row_key(name, &state.members.me.name).len();
         if key_length > KEY_MAX {
             // Without rows it has no grants, so its requests are refused.
             tracing::error!(event = "customer_name_too_long", customer = %name, key_length);
--- a/src/gateway/control/mod.rs
+++ b/src/gateway/control/mod.rs
@@ -10,6 +10,7 @@
 mod grants;
 mod link;
 mod loans;
+mod rows;
 mod waiting;
 
 use std::cell::RefCell;
--- /dev/null
+++ b/src/gateway/control/rows.rs
@@ -0,0 +1,242 @@
+//! This router's rows in one partition of the store: reads what others wrote, and appends its own only
+//! where nothing has come in between.
+//!
+//! An append whose answer is lost may have been done, or may be done yet. Its rows are remembered until
+//! the partition has moved on; until then the lower of both grants holds.
+
+use std::time::Duration;
+
+use rand::RngExt;
+use tokio::time::{Instant, sleep};
+
+use super::context::Control;
+use crate::gateway::escrow::Row;
+use crate::store::{CallError, Page, Partition, Record, Timeout, Topic, hedge};
+use crate::util;
+
+/// Conditional appends in a row that others may win. Not measured.
+const ATTEMPTS_MAX: u32 = 12;
+/// Longest pause after others have won, in milliseconds; drawn, so that the same do not meet again.
+const CONFLICT_PAUSE_MS: u64 = 12;
+/// Separates customer and router in a key.
+const SEPARATOR: char = '/';
+
+/// The key of a router's row of a customer's budget.
+pub(super) fn row_key(customer: &str, router: &str) -> String {
+    format!("{customer}{SEPARATOR}{router}")
+}
+
+/// The rows of one partition, as far as they are known.
+#[derive(Debug)]
+pub(super) struct Rows {
+    partition: Partition,
+    /// The offset up to which rows are known.
+    next: Option<u64>,
+    /// Rows whose append was not answered.
+    unanswered: Vec<(String, Row)>,
+    timeout: Timeout,
+}
+
+impl Rows {
+    /// Rows of which nothing is known yet.
+    pub(super) fn new(number: u32) -> Self {
+        Self {
+            partition: Partition {
+                topic: Topic::Prepaid,
+                number,
+            },
+            next: None,
+            unanswered: Vec::new(),
+            timeout: Timeout::default(),
+        }
+    }
+}
+
+/// What is written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Purpose {
+    /// Rows that are worth a call.
+    Renew,
+    /// All rows, without what is not used.
+    GiveBack,
+}
+
+/// Reads and writes until nobody else has written in between.
+///
+/// # Errors
+/// The store's; the rows may be in the store all the same where it gave no answer.
+pub(super) async fn write(
+    control: &Control,
+    known: &mut Rows,
+    purpose: Purpose,
+) -> Result<(), CallError> {
+    let mut result = Ok(());
+    for _ in 0..ATTEMPTS_MAX {
+        let is_idle = !is_awaited(control, known) && known.unanswered.is_empty();
+        if is_idle && rows(control, known, purpose).is_empty() {
+            return Ok(());
+        }
+        result = write_once(control, known, purpose).await;
+        let noted = result.as_ref().map(|_| ());
+        control.shared.note_call(Topic::Prepaid, &noted);
+        match &result {
+            Err(CallError::Moved { .. } | CallError::Gone { .. }) => {
+                let pause = rand::rng().random_range(0..CONFLICT_PAUSE_MS);
+                sleep(Duration::from_millis(pause)).await;
+            }
+            _ => return result,
+        }
+    }
+    result
+}
+
+async fn write_once(
+    control: &Control,
+    known: &mut Rows,
+    purpose: Purpose,
+) -> Result<(), CallError> {
+    let next = read(control, known).await?;
+    let rows = rows(control, known, purpose);
+    if rows.is_empty() {
+        return Ok(());
+    }
+    control.state.borrow_mut().rows_sent(&rows);
+    let records = records(control, &rows);
+    let begun = Instant::now();
+    let limit = known.timeout.get();
+    let appended = control
+        .store
+        .append(known.partition, &records, Some(next), limit)
+        .await;
+    known.timeout.note(&appended, begun.elapsed());
+    match appended {
+        Ok(end) => {
+            known.next = Some(end);
+            known.unanswered.clear();
+            control.state.borrow_mut().rows_acknowledged(&rows);
+            log(&rows, next);
+            Ok(())
+        }
+        Err(error) if error.may_be_done() => {
+            known.unanswered.extend(rows);
+            Err(error)
+        }
+        Err(error) => {
+            // What was sent before may still be on its way, so only these rows are known not to be.
+            if known.unanswered.is_empty() {
+                control.state.borrow_mut().rows_withdrawn(&rows);
+            }
+            Err(error)
+        }
+    }
+}
+
+/// Whether a request waits for a grant of this partition.
+fn is_awaited(control: &Control, known: &Rows) -> bool {
+    let customers = control.waiting.borrow().needed();
+    let mut customers = customers.into_keys();
+    customers.any(|customer| control.partition_of(&customer) == known.partition.number)
+}
+
+/// The rows of a partition that are to be written.
+fn rows(control: &Control, known: &Rows, purpose: Purpose) -> Vec<(String, Row)> {
+    let number = known.partition.number;
+    let is_here = |customer: &str| control.partition_of(customer) == number;
+    match purpose {
+        Purpose::Renew => {
+            let waiting = control.waiting.borrow().needed();
+            let mut state = control.state.borrow_mut();
+            state.rows(control.now(), &waiting, is_here)
+        }
+        Purpose::GiveBack => {
+            let mut rows = control.state.borrow().last_rows();
+            rows.retain(|(customer, _)| is_here(customer));
+            rows
+        }
+    }
+}
+
+fn records(control: &Control, rows: &[(String, Row)]) -> Vec<Record> {
+    let state = control.state.borrow();
+    let name = &state.members.me.name;
+    let record = |(customer, row): &(String, Row)| Record {
+        key: row_key(customer, name),
+        value: Some(util::encode(row).into()),
+    };
+    rows.iter().map(record).collect()
+}
+
+fn log(rows: &[(String, Row)], offset: u64) {
+    for (customer, row) in rows {
+        tracing::info!(
+            event = "grant_written",
+            %customer,
+            granted = row.granted.0,
+            spent = row.spent.0,
+            spent_before = row.spent_before.0,
+            demand = row.demand,
+            offset
+        );
+    }
+}
+
+/// Reads up to the end of the partition, and returns that end.
+async fn read(control: &Control, known: &mut Rows) -> Result<u64, CallError> {
+    loop {
+        let (store, partition) = (&control.store, known.partition);
+        let silent = || control.shared.note_silence(partition.topic);
+        let page = hedge::hedged(hedge::HEDGE_AFTER, silent, || match known.next {
+            None => store.newest(partition, hedge::ANSWER_MAX),
+            Some(from) => store.read(partition, from, Duration::ZERO, hedge::ANSWER_MAX),
+        })
+        .await;
+        if let Err(CallError::Gone { .. }) = page {
+            known.next = None;
+        }
+        let page = page?;
+        take(control, known, &page);
+        known.next = Some(page.next);
+        if page.next >= page.end {
+            return Ok(page.next);
+        }
+    }
+}
+
+/// Takes rows in that were read. They settle whether unanswered appends were done.
+fn take(control: &Control, known: &mut Rows, page: &Page) {
+    let mut state = control.state.borrow_mut();
+    let me = state.members.me.name.clone();
+    let incarnation = state.incarnation();
+    let mut own = Vec::new();
+    for record in &page.records {
+        let Some((customer, router)) = record.key.split_once(SEPARATOR) else {
+            tracing::warn!(event = "row_key_unreadable", key = %record.key);
+            continue;
+        };
+        let row: Option<Row> = match &record.value {
+            None => None,
+            Some(value) => match util::decode(value) {
+                Some(row) => Some(row),
+                None => {
+                    let bytes = value.len();
+                    tracing::error!(event = "row_unreadable", %customer, %router, bytes);
+                    state.set_unreadable_row(customer, router);
+                    continue;
+                }
+            },
+        };
+        state.set_row(customer, router, row);
+        if let Some(row) = row
+            && router == me
+            && row.incarnation == incarnation
+        {
+            own.push((customer.to_owned(), row));
+        }
+    }
+    if !known.unanswered.is_empty() && !page.records.is_empty() {
+        // The partition has moved on, so what was sent is either here or never will be.
+        let unanswered = std::mem::take(&mut known.unanswered);
+        state.rows_withdrawn(&unanswered);
+        state.rows_acknowledged(&own);
+    }
+}
