--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -17,7 +17,7 @@
         let ticket = spec.ticket;
         match self.table.find(spec.id, spec.fingerprint) {
             Found::Same(to) => {
-                self.out.push(Action::Join { ticket, to });
+                self.actions.push(Action::Join { ticket, to });
                 return;
             }
             Found::Reused => {
@@ -108,7 +108,7 @@
         if owner != Some(spec.customer.as_str()) {
             return Err(Reason::Unknown);
         }
-        if self.frozen.contains(&spec.budget) {
+        if self.suspended.contains(&spec.budget) {
             return Err(Reason::Suspended);
         }
         Ok(BudgetKey { shard, index })
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -163,7 +163,7 @@
         job.stage = Stage::Running;
         job.attempt += 1;
         let (id, attempt, rank) = (job.spec.id, job.attempt, job.rank);
-        self.out.push(Action::Dispatch {
+        self.actions.push(Action::Dispatch {
             ticket,
             id,
             attempt,
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -25,20 +25,20 @@
             ledgers: self.ledgers.iter().map(|ledger| ledger.state()).collect(),
         };
         let result = plan(&world, id, intent);
-        self.out.push(Action::Planned { token, result });
+        self.actions.push(Action::Planned { token, result });
     }
 
     pub(super) fn confirm(&mut self, token: Token, plan: Plan) {
         if let Some(outcome) = self.outcome(&plan) {
             let outcome = Some(outcome);
-            self.out.push(Action::Confirmed { token, outcome });
+            self.actions.push(Action::Confirmed { token, outcome });
             return;
         }
         let id = plan.id;
         let stream = plan.stream;
         let same = |record: &Record| matches!(record, Record::Change(known) if known.id == id);
         let Some(writer) = self.writers.get_mut(&stream) else {
-            self.out.push(Action::Confirmed {
+            self.actions.push(Action::Confirmed {
                 token,
                 outcome: Some(Outcome::Refused(Refused::Unfit)),
             });
@@ -66,7 +66,7 @@
             match self.outcome(&one.plan) {
                 Some(outcome) => {
                     let (token, outcome) = (one.token, Some(outcome));
-                    self.out.push(Action::Confirmed { token, outcome });
+                    self.actions.push(Action::Confirmed { token, outcome });
                 }
                 None => self.confirming.push(one),
             }
@@ -82,7 +82,7 @@
         self.confirming = waiting;
         for one in late {
             let (token, outcome) = (one.token, None);
-            self.out.push(Action::Confirmed { token, outcome });
+            self.actions.push(Action::Confirmed { token, outcome });
         }
     }
 
@@ -97,7 +97,7 @@
         for waiting in queued {
             self.refuse(waiting.ticket, crate::router::request::Reason::Stopping);
         }
-        self.last_beat = Millis::ZERO;
+        self.last_heartbeat = Millis::ZERO;
         self.send_heartbeats();
     }
 
@@ -121,7 +121,7 @@
                 .all(crate::router::log::Writer::is_empty)
         {
             self.exited = true;
-            self.out.push(Action::Exit);
+            self.actions.push(Action::Exit);
         }
     }
 
@@ -158,7 +158,7 @@
             budgets: self.status_budgets(),
         };
         let status = Box::new(status);
-        self.out.push(Action::Status { token, status });
+        self.actions.push(Action::Status { token, status });
     }
 
     fn status_budgets(&self) -> Vec<StatusBudget> {
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -28,10 +28,11 @@
 
 impl State {
     pub(super) fn send_heartbeats(&mut self) {
-        if self.now < self.last_beat + HEARTBEAT_INTERVAL && self.last_beat > Millis::ZERO {
+        if self.now < self.last_heartbeat + HEARTBEAT_INTERVAL && self.last_heartbeat > Millis::ZERO
+        {
             return;
         }
-        self.last_beat = self.now;
+        self.last_heartbeat = self.now;
         self.greet_witnesses();
         let (epoch, applied) = (self.epoch(), self.config.applied());
         let leaving = self.stopping;
@@ -82,12 +83,12 @@
                 repeatable,
                 ..
             } => Reply::Taken(self.take_over(id, shard, by, repeatable)),
-            Request::State { stream } if self.read.contains(&stream) => {
+            Request::State { stream } if self.caught_up.contains(&stream) => {
                 Reply::State(self.snapshot(stream))
             }
             Request::State { .. } => Reply::Gone,
         };
-        self.out.push(Action::Answer { token, reply });
+        self.actions.push(Action::Answer { token, reply });
     }
 
     /// Which addresses a customer should use, with what to make ids of there.
@@ -111,7 +112,7 @@
                 (peer.entry, prefix)
             })
             .collect();
-        self.out.push(Action::Entries { token, entries });
+        self.actions.push(Action::Entries { token, entries });
     }
 
     fn hear(&mut self, peers: &[Peer]) {
@@ -217,7 +218,7 @@
         }
         self.last_inquiry = self.now;
         for (id, reservation) in self.witness.doubtful().into_iter().take(INQUIRIES) {
-            self.out.push(Action::Inquire {
+            self.actions.push(Action::Inquire {
                 id,
                 request: reservation.request,
                 target: reservation.target,
@@ -299,7 +300,7 @@
         let jobs = &self.jobs;
         let gone = self.table.prune(epoch, |ticket| jobs.contains_key(&ticket));
         if !gone.is_empty() {
-            self.out.push(Action::Forget(gone));
+            self.actions.push(Action::Forget(gone));
         }
     }
 }
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -91,56 +91,91 @@
 #[derive(Debug)]
 pub struct State {
     pub(super) settings: Settings,
+    /// Source of all draws, seeded.
     pub(super) rng: StdRng,
+    /// The latest time that an input came with.
     pub(super) now: Millis,
-    pub(super) out: Vec<Action>,
+    /// What the input under way wants done.
+    pub(super) actions: Vec<Action>,
 
+    /// The configuration, folded from its stream.
     pub(super) config: Follower<Config>,
+    /// The budgets, folded from the shards' streams, by shard.
     pub(super) ledgers: Vec<Follower<Ledger>>,
+    /// Records of ours that are not read back yet.
     pub(super) writers: BTreeMap<Stream, Writer>,
-    pub(super) read: BTreeSet<Stream>,
+    /// Streams that were read to their end at least once.
+    pub(super) caught_up: BTreeSet<Stream>,
+    /// Whether the log answered last.
     pub(super) log_up: bool,
+    /// Since when it has not.
     pub(super) log_down_since: Millis,
+    /// Checkpoints that this router writes unless another does first.
     pub(super) checkpoints: BTreeMap<Stream, Due>,
 
+    /// What this incarnation may spend, has reserved and settled.
     pub(super) holder: Holder,
     /// Where this incarnation's first epoch began.
-    pub(super) born: Millis,
+    pub(super) epochs_began: Millis,
+    /// The next number for a request that has none of its own here.
     pub(super) next_number: u32,
+    /// Channels to the witnesses of this and earlier incarnations.
     pub(super) links: BTreeMap<LinkKey, Link>,
+    /// Links made so far, so that late calls of earlier ones are told apart.
     pub(super) link_count: u32,
+    /// Requests whose bill is not acknowledged by all witnesses yet, by number.
     pub(super) settling: BTreeMap<u64, Settling>,
     /// Requests that earlier incarnations of this process left running, by id in their accounts.
     pub(super) late: BTreeMap<Id, Settling>,
+    /// What this router keeps for other holders.
     pub(super) witness: Witness,
+    /// Where each budget last ran short, as far as this router has acted on it.
     pub(super) scarce_seen: HashMap<BudgetKey, Offset>,
+    /// When each budget was last asked for.
     pub(super) asked_at: HashMap<BudgetKey, Millis>,
 
+    /// Ids of requests, so that one that comes again is known.
     pub(super) table: Table,
+    /// Requests on their way.
     pub(super) jobs: BTreeMap<Ticket, Job>,
+    /// The same by number.
     pub(super) by_nonce: BTreeMap<u64, Ticket>,
+    /// Requests that wait, by what they need.
     pub(super) queues: BTreeMap<(Kind, String), Queue>,
+    /// Requests in progress of each customer.
     pub(super) busy: HashMap<String, u32>,
+    /// The retry budget.
     pub(super) retries: Budget,
 
+    /// The targets.
     pub(super) pool: Pool,
+    /// The other routers.
     pub(super) membership: Membership,
 
+    /// The number of the next call to another router.
     pub(super) next_call: Call,
+    /// What calls under way were about.
     pub(super) calls: HashMap<Call, Asked>,
+    /// Confirms that are not read back yet.
     pub(super) confirming: Vec<Confirming>,
+    /// Whether a planned stop has begun.
     pub(super) stopping: bool,
+    /// Since when.
     pub(super) stopping_since: Millis,
     /// Whether this incarnation has written that it is gone.
     pub(super) left: bool,
+    /// Whether the process was told to end.
     pub(super) exited: bool,
-    pub(super) last_beat: Millis,
+    /// When each of these was last done.
+    pub(super) last_heartbeat: Millis,
     pub(super) last_maintenance: Millis,
     pub(super) last_prune: Millis,
     pub(super) last_peer_state: Millis,
     pub(super) last_inquiry: Millis,
+    /// Invariants that did not hold.
     pub(super) violations: u64,
-    pub(super) frozen: BTreeSet<String>,
+    /// Budgets that are not served any more, since an invariant of theirs did not hold.
+    pub(super) suspended: BTreeSet<String>,
 }
 
 impl State {
@@ -151,7 +186,7 @@
         Self {
             rng: StdRng::seed_from_u64(settings.seed),
             now,
-            out: Vec::new(),
+            actions: Vec::new(),
             config: Follower::default(),
             ledgers: (0..crate::router::key::SHARDS)
                 .map(|_| Follower::default())
@@ -159,12 +194,12 @@
             writers: Stream::all()
                 .map(|s| (s, Writer::new(incarnation)))
                 .collect(),
-            read: BTreeSet::new(),
+            caught_up: BTreeSet::new(),
             log_up: true,
             log_down_since: now,
             checkpoints: BTreeMap::new(),
             holder: Holder::new(incarnation, settings.sizing),
-            born: now,
+            epochs_began: now,
             next_number: OWN_NUMBERS,
             links: BTreeMap::new(),
             link_count: 0,
@@ -188,13 +223,13 @@
             stopping_since: now,
             left: false,
             exited: false,
-            last_beat: Millis::ZERO,
+            last_heartbeat: Millis::ZERO,
             last_maintenance: Millis::ZERO,
             last_prune: now,
             last_peer_state: now,
             last_inquiry: now,
             violations: 0,
-            frozen: BTreeSet::new(),
+            suspended: BTreeSet::new(),
             settings,
         }
     }
@@ -225,7 +260,7 @@
             Input::Stop => self.stop(),
         }
         self.flush();
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.actions)
     }
 
     fn tick(&mut self) {
@@ -271,7 +306,7 @@
 
     /// The epoch of ids given out now; the first is 1.
     pub(super) fn epoch(&self) -> u32 {
-        let epochs = self.now.saturating_sub(self.born).0 / EPOCH_LENGTH.0;
+        let epochs = self.now.saturating_sub(self.epochs_began).0 / EPOCH_LENGTH.0;
         u32::try_from(epochs + 1).unwrap_or(u32::MAX)
     }
 
@@ -301,7 +336,7 @@
 
     /// Whether every stream has been read to its end once, or taken from a peer.
     pub fn is_ready(&self) -> bool {
-        self.read.len() == Stream::all().count()
+        self.caught_up.len() == Stream::all().count()
     }
 
     pub(super) fn grant(&self, key: BudgetKey) -> Grant {
@@ -321,7 +356,7 @@
         let call = self.next_call;
         self.next_call += 1;
         self.calls.insert(call, asked);
-        self.out.push(Action::Call { call, to, request });
+        self.actions.push(Action::Call { call, to, request });
     }
 
     pub(super) fn violated(&mut self, violation: Violation) {
@@ -329,13 +364,13 @@
         if let Violation::Conservation { budget, .. } | Violation::Overdrawn { budget, .. } =
             &violation
         {
-            self.frozen.insert(budget.clone());
+            self.suspended.insert(budget.clone());
         }
-        self.out.push(Action::Violated(violation));
+        self.actions.push(Action::Violated(violation));
     }
 
     pub(super) fn finish(&mut self, ticket: Ticket, verdict: Verdict) {
-        self.out.push(Action::Finish { ticket, verdict });
+        self.actions.push(Action::Finish { ticket, verdict });
     }
 
     /// When to come back, spread so that callers do not return together.
@@ -354,6 +389,6 @@
 
     pub(super) fn publish(&mut self) {
         let config = Arc::new(self.config.state().clone());
-        self.out.push(Action::Publish { config });
+        self.actions.push(Action::Publish { config });
     }
 }
--- a/src/router/control/streams.rs
+++ b/src/router/control/streams.rs
@@ -26,7 +26,7 @@
         };
         // A reader behind the log's retention that has found no checkpoint knows nothing yet.
         if self.applied(stream) + Offset(1) >= first {
-            self.read.insert(stream);
+            self.caught_up.insert(stream);
         }
         self.took(stream, progress, !batches.is_empty());
     }
@@ -39,7 +39,7 @@
         };
         // An empty stream has nothing to restore, and its reader is at its end.
         if restored || checkpoint.through == self.applied(stream) {
-            self.read.insert(stream);
+            self.caught_up.insert(stream);
         }
         self.took(stream, Progress::default(), restored);
     }
@@ -143,7 +143,7 @@
             }
         }
         for (stream, batch) in appends {
-            self.out.push(Action::Append { stream, batch });
+            self.actions.push(Action::Append { stream, batch });
         }
         self.flush_links();
     }
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -337,7 +337,7 @@
         self.by_nonce.clear();
         self.scarce_seen.clear();
         self.asked_at.clear();
-        self.born = self.now;
+        self.epochs_began = self.now;
         for (stream, writer) in &mut self.writers {
             *writer = Writer::new(new);
             let plans = self.confirming.iter().map(|one| &one.plan);
@@ -349,7 +349,7 @@
         me.incarnation = new;
         me.witness = None;
         me.epoch = 1;
-        self.out.push(Action::Reborn { incarnation: new });
+        self.actions.push(Action::Reborn { incarnation: new });
         self.rejudge(old);
     }
 
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -1,5 +1,6 @@
 //! Does what the control state wants done.
 
+use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -7,11 +8,12 @@
 
 use super::shared::Shared;
 use crate::router::client::Log;
-use crate::router::control::{Action, Input};
+use crate::router::control::{Action, Call, Input};
 use crate::router::http::answer::{Answer, Work};
 use crate::router::http::relay::{Dispatch, Relay};
+use crate::router::message::Request;
 use crate::router::report::Key;
-use crate::router::request::{Ticket, Verdict};
+use crate::router::request::{Id, Ticket, Verdict};
 use crate::units::Tokens;
 use crate::wire;
 
@@ -63,24 +65,10 @@
                 request,
                 target,
             } => {
-                let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
-                self.traffic.spawn(async move {
-                    let fate = relay.fate(target, request).await;
-                    if let Some(fate) = fate.filter(|fate| fate.ran && fate.done) {
-                        let used = Tokens(fate.used);
-                        shared.tell(Input::Fate { id, used });
-                    }
-                });
+                self.inquire(id, request, target);
             }
             Action::Append { stream, batch } => self.append(stream, batch),
-            Action::Call { call, to, request } => {
-                let (peers, shared) = (self.peers.clone(), Arc::clone(&self.shared));
-                self.traffic.spawn(async move {
-                    // The client logs why there is no answer; the control state only needs that.
-                    let reply = peers.ask(to, &request).await.ok();
-                    shared.tell(Input::Replied { call, reply });
-                });
-            }
+            Action::Call { call, to, request } => self.call(call, to, request),
             Action::Answer { token, .. }
             | Action::Planned { token, .. }
             | Action::Confirmed { token, .. }
@@ -100,6 +88,27 @@
         }
     }
 
+    /// Asks a target what became of a request in doubt.
+    fn inquire(&self, id: Id, request: Id, target: SocketAddr) {
+        let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
+        self.traffic.spawn(async move {
+            let fate = relay.fate(target, request).await;
+            if let Some(fate) = fate.filter(|fate| fate.ran && fate.done) {
+                let used = Tokens(fate.used);
+                shared.tell(Input::Fate { id, used });
+            }
+        });
+    }
+
+    fn call(&self, call: Call, to: SocketAddr, request: Request) {
+        let (peers, shared) = (self.peers.clone(), Arc::clone(&self.shared));
+        self.traffic.spawn(async move {
+            // The client logs why there is no answer; the control state only needs that.
+            let reply = peers.ask(to, &request).await.ok();
+            shared.tell(Input::Replied { call, reply });
+        });
+    }
+
     fn append(&self, stream: crate::router::key::Stream, batch: crate::router::log::Batch) {
         let shared = Arc::clone(&self.shared);
         let log = shared.log.clone();
