--- a/src/gateway/escrow/account.rs
+++ b/src/gateway/escrow/account.rs
@@ -13,9 +13,9 @@
 /// Why a request cannot be paid for now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Short {
-    /// What is left of the whole budget does not hold it.
+    /// What is left of the whole budget does not cover it.
     Exhausted,
-    /// This router's part does not hold it; more may come.
+    /// This router's part does not cover it; more may come.
     Here,
 }
 
@@ -33,34 +33,40 @@
 /// This router's part of one customer's budget.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
+    /// Tokens that earlier processes of this router have spent, or may have.
     spent_before: Tokens,
-    /// What the store has acknowledged.
+    /// Tokens that the store has granted this process, in all.
     granted: Tokens,
-    /// What may be spent: less than `granted` while a lower row may be on its way.
+    /// Tokens that may be spent of them: less while a row that grants less may be on its way.
     limit: Tokens,
-    /// What other routers have counted as spent for this one.
+    /// Tokens that other routers have lent, and count as spent.
     borrowed: Tokens,
+    /// Tokens that were settled here or lent to others.
     spent: Tokens,
+    /// Tokens of requests under way.
     reserved: Tokens,
+    /// Tokens a second that are asked for, decaying.
     demand: f64,
+    /// When `demand` was last brought up to date.
     demand_at: Millis,
-    /// What a row that was sent would grant.
+    /// Tokens that a row on its way would grant.
     sent: Option<Tokens>,
+    /// The row that the store has.
     written: Option<Row>,
 }
 
 impl Account {
-    /// What can still be reserved.
+    /// Tokens that can still be reserved.
     pub fn available(&self) -> Tokens {
         (self.limit + self.borrowed).saturating_sub(self.spent + self.reserved)
     }
 
-    /// What all routers together have spent, as far as they told.
+    /// Tokens that all routers together have spent, as far as their rows tell.
     pub fn spent(&self, ledger: &Ledger, router: &str) -> Tokens {
         ledger.spent_by_others(router) + self.spent_before + self.used()
     }
 
-    /// What this router's own grant has to cover.
+    /// Tokens that this router's own grant has to cover.
     fn used(&self) -> Tokens {
         (self.spent + self.reserved).saturating_sub(self.borrowed)
     }
@@ -74,8 +80,8 @@
         lent
     }
 
-    /// Takes off what was borrowed, is neither spent nor reserved, and is more than `keep`, to be
-    /// given to another router.
+    /// Takes out tokens that were borrowed, are neither spent nor reserved, and are more than `keep`; they
+    /// are to be given to another router.
     pub fn take_excess(&mut self, keep: Tokens) -> Tokens {
         let unused = self.borrowed.saturating_sub(self.spent + self.reserved);
         let excess = unused.min(self.available()).saturating_sub(keep);
