--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -34,7 +34,7 @@
     Poll(usize, u64),
     ToNode(usize, u64, Input),
     Append(usize, u64, Stream, Batch),
-    Notice(usize, u64, Call, SocketAddr, Request),
+    Ask(usize, u64, Call, SocketAddr, Request),
     Answer(usize, u64, Call, Option<Reply>),
     Arrive(usize),
     Start(usize),
@@ -222,7 +222,7 @@
             Event::Poll(node, life) => self.poll(node, life),
             Event::ToNode(node, _, input) => self.tell(node, input),
             Event::Append(node, life, stream, batch) => self.append(node, life, stream, batch),
-            Event::Notice(from, life, call, to, request) => self.ask(from, life, call, to, request),
+            Event::Ask(from, life, call, to, request) => self.ask(from, life, call, to, request),
             Event::Answer(node, life, call, reply) => {
                 self.after(0, Event::ToNode(node, life, Input::Replied { call, reply }));
             }
@@ -372,10 +372,10 @@
                 }
                 if self.chance(0.02, "call repeated") {
                     let lag = self.lag() + 50;
-                    self.after(lag, Event::Notice(node, life, call, to, request.clone()));
+                    self.after(lag, Event::Ask(node, life, call, to, request.clone()));
                 }
                 let lag = self.lag();
-                self.after(lag, Event::Notice(node, life, call, to, request));
+                self.after(lag, Event::Ask(node, life, call, to, request));
             }
             Action::Answer { token, reply } => {
                 let (from, life, call) = self.tokens[&token];
--- /dev/null
+++ b/tests/decision_rules.rs
@@ -0,0 +1,222 @@
+//! The gateway's rules as tables: what follows a failed attempt, what a caller is told, on what terms a
+//! request is let in, and how grants are sized.
+
+use lanedeck::gateway::decision::admission::{self, Request, Source};
+use lanedeck::gateway::decision::grant::{self, Need, Role, Sizing};
+use lanedeck::gateway::decision::refusal::Reason;
+use lanedeck::gateway::decision::retry::{self, Decision, Failure, History, Limit, Verdict};
+use lanedeck::gateway::route::{
+    Backend, Config, Customer, Kind, Limits, Route, Service, ServiceKey,
+};
+use lanedeck::units::{Millis, Tokens};
+
+const FRESH: History = History {
+    kind: Kind::Once,
+    attempts_max: 2,
+    sent: 1,
+    unreached: 0,
+    is_expired: false,
+};
+
+fn after(failure: Failure, history: History) -> Decision {
+    retry::decide(failure, &history)
+}
+
+#[test]
+fn not_run() {
+    let not_run = [
+        Failure::Unreachable,
+        Failure::IdleClosed,
+        Failure::Late,
+        Failure::Unwritable,
+        Failure::Refused,
+        Failure::WrongInstance,
+    ];
+    for failure in not_run {
+        assert_eq!(failure.verdict(), Verdict::NotRun, "{failure:?}");
+        assert_eq!(after(failure, FRESH), Decision::Retry, "{failure:?}");
+        let used = History { sent: 2, ..FRESH };
+        let limit = Decision::GiveUp(Limit::Attempts);
+        assert_eq!(after(failure, used), limit, "{failure:?}");
+        let unreached = History {
+            unreached: 3,
+            ..FRESH
+        };
+        let limit = Decision::GiveUp(Limit::Unreached);
+        assert_eq!(after(failure, unreached), limit, "{failure:?}");
+        let expired = History {
+            is_expired: true,
+            ..FRESH
+        };
+        let limit = Decision::GiveUp(Limit::Time);
+        assert_eq!(after(failure, expired), limit, "{failure:?}");
+    }
+}
+
+#[test]
+fn may_have_run() {
+    let resumable = Kind::Stream { resumable: true };
+    let cut = Kind::Stream { resumable: false };
+    let never = Decision::GiveUp(Limit::NotRepeatable);
+    let cases = [
+        (Failure::BrokenOff, Kind::Repeatable, Decision::Retry),
+        (Failure::BrokenOff, resumable, Decision::Retry),
+        (Failure::BrokenOff, cut, never),
+        (Failure::BrokenOff, Kind::Once, never),
+        (
+            Failure::TimedOut,
+            Kind::Repeatable,
+            Decision::GiveUp(Limit::Time),
+        ),
+        (Failure::TimedOut, Kind::Once, never),
+        (Failure::ServerError, Kind::Repeatable, Decision::Retry),
+        (Failure::ServerError, resumable, never),
+        (Failure::ServerError, Kind::Once, never),
+    ];
+    for (failure, kind, decision) in cases {
+        assert_eq!(failure.verdict(), Verdict::MayHaveRun);
+        let history = History { kind, ..FRESH };
+        assert_eq!(after(failure, history), decision, "{failure:?} {kind:?}");
+    }
+}
+
+#[test]
+fn what_is_told() {
+    let told = |failure| Reason::of(failure, Verdict::NotRun);
+    assert_eq!(told(Failure::Unreachable), Reason::Unreachable);
+    assert_eq!(told(Failure::Refused), Reason::TargetRefused);
+    assert_eq!(told(Failure::Late), Reason::Late);
+    // Once an attempt may have run, no later failure promises the contrary.
+    for failure in [Failure::Unreachable, Failure::Refused, Failure::Late] {
+        let reason = Reason::of(failure, Verdict::MayHaveRun);
+        assert_eq!(reason, Reason::BrokenOff);
+        assert_eq!(reason.verdict(), Verdict::MayHaveRun);
+    }
+    let reason = Reason::of(Failure::TimedOut, Verdict::MayHaveRun);
+    assert_eq!(reason, Reason::TimedOut);
+}
+
+fn config() -> Config {
+    let route = |prefix: &str, public: bool, rank: u8| Route {
+        name: prefix.to_owned(),
+        host: "shop.example".to_owned(),
+        prefix: prefix.to_owned(),
+        backends: vec![Backend {
+            service: ServiceKey(0),
+            weight: 1.0,
+        }],
+        kind: Kind::Once,
+        timeout: Millis(4_000),
+        latency_objective: Millis(500),
+        attempts: 1,
+        rank,
+        public,
+    };
+    let service = Service {
+        name: "app".to_owned(),
+        connections: 10,
+        engine: None,
+    };
+    let customer = |name: &str, rank| Customer {
+        name: name.to_owned(),
+        keys: vec![format!("key of {name}")],
+        rank,
+        prepaid: Some(Tokens(1_000)),
+    };
+    Config::new(
+        1,
+        vec![route("/open/", true, 7), route("/shut/", false, 1)],
+        vec![service],
+        vec![customer("anna", Some(1)), customer("bo", None)],
+        Limits::default(),
+    )
+}
+
+#[test]
+fn terms() {
+    let config = config();
+    let request = |path, key, time_limit| Request {
+        host: "Shop.Example:80",
+        path,
+        key,
+        time_limit,
+    };
+    let admit = |path, key, limit| {
+        let terms = admission::admit(&config, &request(path, key, limit));
+        terms.map(|terms| (terms.rank, terms.time_limit, terms.event_tokens))
+    };
+    let anna = Some("key of anna");
+    assert_eq!(admit("/none", anna, None), Err(Reason::NoRoute));
+    assert_eq!(admit("/shut/x", None, None), Err(Reason::NoKey));
+    assert_eq!(admit("/shut/x", Some("?"), None), Err(Reason::NoKey));
+    assert_eq!(admit("/open/x", None, None), Ok((7, Millis(4_000), 1)));
+    // A customer's rank comes before that of the route, of which three are told apart.
+    let short = Some(Millis(9));
+    assert_eq!(admit("/shut/x", anna, short), Ok((4, Millis(9), 1)));
+    assert_eq!(admit("/open/x", anna, None), Ok((5, Millis(4_000), 1)));
+    let bo = Some("key of bo");
+    let long = Some(Millis(9_000));
+    assert_eq!(admit("/shut/x", bo, long), Ok((1, Millis(4_000), 1)));
+    let customer = config.customer("anna");
+    let payer = Some(("anna".to_owned(), Tokens(1_000)));
+    assert_eq!(admission::payer(customer, true), payer);
+    assert_eq!(admission::payer(customer, false), None);
+    assert_eq!(admission::payer(None, true), None);
+    let source = admission::grant_source;
+    assert_eq!(source(Role::Holder, true), Source::Store);
+    assert_eq!(source(Role::Holder, false), Source::Peers);
+    assert_eq!(source(Role::Borrower, true), Source::Peers);
+}
+
+#[test]
+fn grant_sizes() {
+    let sizing = Sizing {
+        horizon: Millis(8_000),
+        exact: Millis(12_000),
+        share: 0.8,
+        spread: 0.05,
+        holders: 5,
+    };
+    let need = Need {
+        role: Role::Holder,
+        demand: 100.0,
+        total_demand: 200.0,
+        used: Tokens(50),
+        waiting: Tokens::ZERO,
+        left: Tokens(100_000),
+        free: Tokens(100_000),
+        granted: Tokens(50),
+    };
+    let size = |need: Need| grant::size(&sizing, &need).0;
+    // 0.05 of what is left beyond 12 s of all demand, over five holders: 976; 8 s of own demand: 800.
+    assert_eq!(size(need), 50 + 976);
+    let busy = Need {
+        demand: 150.0,
+        ..need
+    };
+    assert_eq!(size(busy), 50 + 1_200);
+    let low = Need {
+        left: Tokens(2_000),
+        waiting: Tokens(70),
+        ..need
+    };
+    assert_eq!(size(low), 50 + 70, "near the end only what waits");
+    let borrower = Need {
+        role: Role::Borrower,
+        ..low
+    };
+    assert_eq!(size(borrower), 50 + 70);
+    let taken = Need {
+        free: Tokens(60),
+        ..need
+    };
+    assert_eq!(size(taken), 60, "no more than nobody else has");
+    let lowered = Need {
+        free: Tokens::ZERO,
+        ..need
+    };
+    assert_eq!(size(lowered), 50, "what is used stays granted");
+    assert_eq!(grant::lend(Tokens(100), Tokens(10), Tokens(30)), Tokens(10));
+    assert_eq!(grant::lend(Tokens(120), Tokens(10), Tokens(30)), Tokens(30));
+    assert_eq!(grant::lend(Tokens(5), Tokens(10), Tokens(30)), Tokens(5));
+}
