--- a/src/gateway/control/apply.rs
+++ b/src/gateway/control/apply.rs
@@ -1,5 +1,5 @@
-//! Takes what was read from the store, or told by other routers, into the control state. It logs each
-//! change of what this router believes.
+//! Applies records read from the store, and messages of other routers, to the control state, and logs each resulting
+//! change.
 
 use std::collections::{BTreeSet, HashSet};
 use std::rc::Rc;
@@ -17,26 +17,26 @@
 use crate::store::{KEY_MAX, Page, Record};
 use crate::util;
 
-/// What a page has of its topic.
+/// Which records of its topic a page holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Reading {
+pub(super) enum PageContent {
     /// The newest record of each key.
-    All,
-    /// The same, as it stood in the copy that the store has come back from.
-    Copy,
-    /// What has changed since the last page.
+    Snapshot,
+    /// The newest record of each key, as in the copy that the store was restored from.
+    RestoredSnapshot,
+    /// The records written since the last page.
     Changes,
 }
 
-/// Takes in a page of the operators' records. The configuration in force stays until there is a newer one.
-pub(super) fn operators(control: &Rc<Control>, page: &Page, reading: Reading) {
+/// Applies a page of the operators' records. The configuration in force stays until there is a newer one.
+pub(super) fn operators(control: &Rc<Control>, page: &Page, content: PageContent) {
     let now = control.now();
-    let mut kept = control.halls_kept.borrow_mut();
-    let mut told = View {
+    let mut retained = control.halls_retained.borrow_mut();
+    let mut view = View {
         as_of: page.next,
-        halls: match reading {
-            Reading::Changes => control.halls_told.borrow().clone(),
-            Reading::All | Reading::Copy => BTreeSet::new(),
+        halls: match content {
+            PageContent::Changes => control.halls_in_store.borrow().clone(),
+            PageContent::Snapshot | PageContent::RestoredSnapshot => BTreeSet::new(),
         },
     };
     for record in &page.records {
@@ -47,29 +47,29 @@
                     Some(_) => Order::Evacuate,
                     None => Order::TakeBack,
                 };
-                told.set(hall, order);
-                if reading == Reading::Changes {
-                    kept.note_word(hall);
+                view.set(hall, order);
+                if content == PageContent::Changes {
+                    retained.note_word(hall);
                 }
             }
             (Some(Subject::Config), None) | (None, _) => {}
         }
     }
-    control.halls_told.replace(told.halls.clone());
-    if reading == Reading::Copy {
+    control.halls_in_store.replace(view.halls.clone());
+    if content == PageContent::RestoredSnapshot {
         let known = control.evacuations.borrow();
         let before = known
             .as_ref()
             .map_or_else(BTreeSet::new, |view| view.halls.clone());
-        kept.note_return(now, &before, &told.halls);
+        retained.note_return(now, &before, &view.halls);
     }
-    told.halls.extend(kept.at(now).cloned());
-    drop(kept);
-    control.operators_read.set(Some(Instant::now()));
-    evacuations::set(control, told, "store");
+    view.halls.extend(retained.at(now).cloned());
+    drop(retained);
+    control.operators_read_at.set(Some(Instant::now()));
+    evacuations::set(control, view, "store");
 }
 
-/// Puts a configuration in force if it is newer than the one that is.
+/// Puts a configuration in force if it is newer than the one in force.
 pub(super) fn config(control: &Rc<Control>, bytes: &Bytes) {
     let config = match control.dialect.read_config(bytes) {
         Ok(config) => config,
@@ -91,7 +91,7 @@
         let name = &customer.name;
         let key_length = rows::row_key(name, &state.members.me.name).len();
         if key_length > KEY_MAX {
-            // Without rows it has no grants, so its requests are refused.
+            // The customer's rows cannot be written, so it gets no grants and its requests are refused.
             tracing::error!(event = "customer_name_too_long", customer = %name, key_length);
             continue;
         }
@@ -107,12 +107,12 @@
         customers = config.customers().len()
     );
     // Budgets may be larger now.
-    control.nothing.borrow_mut().clear();
+    control.loans_exhausted_at.borrow_mut().clear();
     control.shared.set_config(config, bytes.clone());
     grants::spawn_renewals(control);
 }
 
-/// Takes in one entry of the list of targets.
+/// Applies one entry of the list of targets.
 pub(super) fn target(control: &Control, record: &Record, freshness: Freshness) {
     let Some(value) = &record.value else {
         control.bad_entries.borrow_mut().remove(&record.key);
@@ -130,23 +130,23 @@
             drop(state);
             log_change(&instance, change, "store");
         }
-        Err(error) => refuse_entry(control, &record.key, &error),
+        Err(error) => reject_entry(control, &record.key, &error),
     }
 }
 
-/// Notes an entry that names no target to use. A target that had a good one gets no requests until it has one again,
-/// which it writes with its next heartbeat; what it works on goes on.
-fn refuse_entry(control: &Control, key: &str, error: &BadEntry) {
+/// Rejects an unusable entry of the list of targets. If its target had a usable entry, it gets no further requests
+/// until it writes one again with its next heartbeat; requests already sent to it continue.
+fn reject_entry(control: &Control, key: &str, error: &BadEntry) {
     control.shared.bad_entries[error.cause()].add(1);
-    let is_new = control.bad_entries.borrow_mut().note(key, error.cause());
+    let is_new = control.bad_entries.borrow_mut().insert(key, error.cause());
     if is_new {
         tracing::warn!(event = "listing_refused", %key, %error);
     }
     remove_target(control, key, "entry");
 }
 
-/// Takes the complete list of targets in. Those that it lacks are removed if `drop_absent`, and else avoided; whether
-/// it lacks none that is left on is returned.
+/// Applies the complete list of targets. Known targets that are absent from it are removed if `drop_absent`, and else
+/// only avoided. Returns whether the list now covers all targets that are still known.
 pub(super) fn all_targets(
     control: &Control,
     page: &Page,
@@ -182,8 +182,8 @@
     true
 }
 
-/// Takes in another router's list of targets, while this one is cut off from the store. Targets that come up meanwhile
-/// have just started; those of the first list may have run for long.
+/// Applies another router's list of targets while this router is cut off from the store. Targets that appear in later
+/// lists have just started; those of the first list may have been running for long.
 pub(super) fn peer_targets(control: &Control, view: targets::View) {
     let knew_some = control.state.borrow().targets.known_count() > 0;
     for instance in view.gone {
@@ -216,15 +216,15 @@
     }
 }
 
-/// Names of the routers that are known.
+/// The names of the known routers.
 pub(super) fn known_routers(control: &Control) -> HashSet<String> {
     let state = control.state.borrow();
     let known = state.members.known();
     known.map(|router| router.name.clone()).collect()
 }
 
-/// Takes in another router's entry in the store. An entry that is removed changes nothing: its router
-/// counts as dead once its heartbeats are missed.
+/// Applies another router's entry in the store. A removed entry changes nothing: its router counts as dead once it has
+/// missed enough heartbeats.
 pub(super) fn router(control: &Control, record: &Record) {
     let Some(value) = &record.value else {
         return;
@@ -235,14 +235,15 @@
             heartbeat(control, router, Source::Store);
         }
         None => {
-            if control.bad_routers.borrow_mut().note(&record.key, 0) {
+            if control.bad_routers.borrow_mut().insert(&record.key, 0) {
                 tracing::warn!(event = "router_unreadable", key = %record.key, bytes = value.len());
             }
         }
     }
 }
 
-/// Takes in another router's heartbeat; whether something changed that others depend on.
+/// Applies another router's heartbeat. Returns whether the router is new, has restarted, or has changed its readiness
+/// or liveness.
 pub(super) fn heartbeat(control: &Control, router: Router, source: Source) -> bool {
     let (name, is_ready) = (router.name.clone(), router.is_ready);
     let now = control.now();
--- a/src/gateway/control/bad_entries.rs
+++ b/src/gateway/control/bad_entries.rs
@@ -1,28 +1,29 @@
-//! Entries in the store that cannot be used, so that each is logged once and not each time that it is read.
+//! Remembers unusable entries in the store, so that each is logged once and not on every read.
 
 use std::collections::HashMap;
 
-/// Entries that are remembered: above the targets of any deployment that is aimed at. More are counted, not logged.
-const REMEMBERED: usize = 1_024;
+/// Maximum number of entries remembered: more than the targets of any intended deployment. Further entries are counted
+/// but not logged.
+const ENTRIES_MAX: usize = 1_024;
 
-/// Entries that cannot be used, each with the place of its cause.
+/// Unusable entries by key, each with the index of its cause.
 #[derive(Debug, Default)]
 pub(super) struct BadEntries(HashMap<String, usize>);
 
 impl BadEntries {
-    /// Notes an entry; whether that is news.
-    pub(super) fn note(&mut self, key: &str, cause: usize) -> bool {
+    /// Records an entry. Returns whether it is new or has another cause than before.
+    pub(super) fn insert(&mut self, key: &str, cause: usize) -> bool {
         if self.0.get(key) == Some(&cause) {
             return false;
         }
-        if self.0.len() >= REMEMBERED && !self.0.contains_key(key) {
+        if self.0.len() >= ENTRIES_MAX && !self.0.contains_key(key) {
             return false;
         }
         self.0.insert(key.to_owned(), cause);
         true
     }
 
-    /// Forgets an entry that is gone, or good again.
+    /// Removes an entry that was deleted or is usable again.
     pub(super) fn remove(&mut self, key: &str) {
         self.0.remove(key);
     }
--- a/src/gateway/control/context.rs
+++ b/src/gateway/control/context.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the control thread share.
+//! State shared by the tasks of the control thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -29,92 +29,91 @@
 use crate::units::{Millis, Tokens};
 use crate::wire::{self, Missing};
 
-/// How long another router's outstanding requests count after it told of them. Four of
-/// its heartbeats.
-const LOAD_BELIEVED: Millis = Millis(1_200);
+/// Age up to which another router's report of its outstanding requests is used: four heartbeat rounds.
+const PEER_LOAD_MAX_AGE: Millis = Millis(1_200);
 
-/// Interval of rounds in which other routers are told something.
-pub(super) const ROUND: Duration = Duration::from_millis(300);
-/// Routers that are told at once, whatever the size of the fleet.
+/// Interval between rounds of messages to other routers.
+pub(super) const ROUND_INTERVAL: Duration = Duration::from_millis(300);
+/// Routers contacted per round, independent of the size of the fleet.
 pub(super) const FAN_OUT: usize = 3;
 
-/// The control thread's state and its means.
+/// The control state, and the clients and bookkeeping that the control thread's tasks use.
 pub(super) struct Control {
     pub(super) state: RefCell<State>,
-    /// Requests that wait for a grant.
+    /// Requests waiting for a grant or a loan.
     pub(super) waiting: RefCell<Queue>,
-    /// Tokens that other routers wait for, by customer.
-    pub(super) asked: RefCell<HashMap<String, Tokens>>,
-    /// The tasks that renew grants, by partition.
+    /// Tokens that other routers have asked to borrow and are waiting for, by customer.
+    pub(super) requested_by_peers: RefCell<HashMap<String, Tokens>>,
+    /// Handles of the tasks that renew grants, by partition.
     pub(super) renewals: RefCell<HashMap<u32, Rc<Renewal>>>,
-    /// Partitions of the store that customers are spread over.
+    /// Number of store partitions that customers are spread over.
     pub(super) partitions: u32,
     pub(super) shared: Arc<Shared>,
     pub(super) store: Arc<dyn Store>,
     pub(super) dialect: Arc<dyn Dialect>,
-    /// Asks other routers.
-    pub(super) links: wire::Client,
-    /// Ends the link that other routers ask on.
-    pub(super) link_closing: CancellationToken,
-    /// The task of that link.
-    pub(super) link: TaskTracker,
-    /// What other routers have at which target.
+    /// Client for requests to other routers.
+    pub(super) peer_client: wire::Client,
+    /// Cancelled to close the listener for other routers' requests.
+    pub(super) link_shutdown: CancellationToken,
+    /// Tracks the task of that listener.
+    pub(super) link_tasks: TaskTracker,
+    /// Outstanding requests of the other routers at each target.
     pub(super) peer_loads: RefCell<PeerLoads>,
-    /// Customers for whom a loan is being asked for.
+    /// Customers for whom a loan is being requested.
     pub(super) borrowing: RefCell<HashSet<String>>,
-    /// When all that were asked had no tokens of a customer.
-    pub(super) nothing: RefCell<HashMap<String, Instant>>,
-    /// Entries of the list of targets that cannot be used.
+    /// When every lender asked had no tokens left, by customer.
+    pub(super) loans_exhausted_at: RefCell<HashMap<String, Instant>>,
+    /// Unusable entries in the list of targets.
     pub(super) bad_entries: RefCell<BadEntries>,
-    /// Entries of routers that cannot be read, likewise.
+    /// Router entries that cannot be decoded.
     pub(super) bad_routers: RefCell<BadEntries>,
-    /// Targets whose ports are being asked for.
-    pub(super) probed: RefCell<HashSet<TargetKey>>,
-    /// The requests that are held back, as they were last logged and published.
-    pub(super) holds: RefCell<BTreeMap<Fingerprint, Hold>>,
-    /// The requests in this router's row of those that are held back, and the store's era as that was written.
-    pub(super) row_held: RefCell<(Era, Vec<Fingerprint>)>,
-    /// Wakes the task that tells other routers what targets say of themselves.
+    /// Targets whose port is being probed.
+    pub(super) probing: RefCell<HashSet<TargetKey>>,
+    /// The quarantined requests, as last logged and published.
+    pub(super) published_holds: RefCell<BTreeMap<Fingerprint, Hold>>,
+    /// The quarantined requests in this router's row in the store, and the store's era when the row was written.
+    pub(super) written_holds: RefCell<(Era, Vec<Fingerprint>)>,
+    /// Wakes the task that forwards targets' notices to other routers.
     pub(super) notice_changed: Notify,
-    /// Messages to other routers with what targets say.
-    pub(super) notices_told: Cell<usize>,
-    /// Which halls the operators have emptied, once that is known.
+    /// Number of messages with targets' notices that were sent to other routers.
+    pub(super) notice_messages: Cell<usize>,
+    /// Which halls the operators have evacuated; `None` until it is known.
     pub(super) evacuations: RefCell<Option<evacuation::View>>,
-    /// Those of them that the store told.
-    pub(super) halls_told: RefCell<BTreeSet<String>>,
-    /// Those of before the store came back from a copy that lacks them.
-    pub(super) halls_kept: RefCell<evacuation::Kept>,
+    /// The evacuated halls according to the records read from the store.
+    pub(super) halls_in_store: RefCell<BTreeSet<String>>,
+    /// Evacuations kept in force after the store was restored from a copy that lacks them.
+    pub(super) halls_retained: RefCell<evacuation::Kept>,
     /// When the operators' records were last read.
-    pub(super) operators_read: Cell<Option<Instant>>,
-    /// The host's boot, where it tells one.
-    pub(super) boot: Option<u64>,
+    pub(super) operators_read_at: Cell<Option<Instant>>,
+    /// Id of the host's boot; `None` where the host does not provide one.
+    pub(super) boot_id: Option<u64>,
 }
 
-/// How the task that renews a partition's grants is spoken with.
+/// Signals to and from the task that renews a partition's grants.
 #[derive(Debug, Default)]
 pub(super) struct Renewal {
-    /// Wakes it before its interval is over.
-    pub(super) now: Notify,
-    /// Told each time that it has renewed grants, or could not.
+    /// Wakes the task before its interval is over.
+    pub(super) wake: Notify,
+    /// Notified after each renewal, successful or not.
     pub(super) done: Notify,
 }
 
 impl Control {
-    /// The time of the control state's clock.
+    /// Current time on the clock that the control state uses.
     pub(super) fn now(&self) -> Millis {
         boot_clock::now()
     }
 
-    /// Closes the link, once what other routers have asked is answered.
+    /// Closes the listener for other routers once their pending requests are answered.
     pub(super) async fn close_link(&self) {
-        self.link_closing.cancel();
-        self.link.close();
-        self.link.wait().await;
+        self.link_shutdown.cancel();
+        self.link_tasks.close();
+        self.link_tasks.wait().await;
     }
 
-    /// Some of the other routers, drawn at random; also those that count as dead, since only a call shows
+    /// Returns a random sample of the other routers. It includes those that count as dead, since only a call shows
     /// that they are back.
-    pub(super) fn draw(&self, count: usize) -> Vec<Router> {
+    pub(super) fn sample_routers(&self, count: usize) -> Vec<Router> {
         let state = self.state.borrow();
         let known: Vec<&Router> = state.members.known().collect();
         known
@@ -123,7 +122,7 @@
             .collect()
     }
 
-    /// Notes that a router's link does not answer.
+    /// Marks a router as unreachable after its link did not answer.
     pub(super) fn set_unreachable(&self, router: &Router, missing: Missing) {
         let mut state = self.state.borrow_mut();
         let is_new = state
@@ -136,79 +135,80 @@
         }
     }
 
-    /// Publishes where callers may connect.
+    /// Publishes the addresses at which callers may connect.
     pub(super) fn publish_caller_addresses(&self) {
         let addresses = self.state.borrow().members.caller_addresses(self.now());
         self.shared.set_caller_addresses(addresses);
     }
 
-    /// Publishes where targets listen.
+    /// Publishes the addresses of the targets.
     pub(super) fn publish_target_addresses(&self) {
         let addresses = self.state.borrow().targets.addresses();
         self.shared.set_target_addresses(addresses);
     }
 
-    /// The partition that has a customer's rows.
+    /// Number of the partition that holds a customer's rows.
     pub(super) fn partition_of(&self, customer: &str) -> u32 {
         let partition = xxh3_64(customer.as_bytes()) % u64::from(self.partitions.max(1));
-        u32::try_from(partition).expect("a remainder of a number of 32 bits")
+        u32::try_from(partition).expect("a remainder of a 32-bit divisor fits 32 bits")
     }
 
-    /// The task that renews a customer's grants, once there is one.
+    /// Handle of the task that renews a customer's grants; `None` until it has been started.
     pub(super) fn renewal_of(&self, customer: &str) -> Option<Rc<Renewal>> {
         let partition = self.partition_of(customer);
         self.renewals.borrow().get(&partition).cloned()
     }
 
-    /// Has a customer's grant renewed now, and not at the next interval.
+    /// Renews a customer's grant now instead of at the next interval.
     pub(super) fn renew_now(&self, customer: &str) {
         if let Some(renewal) = self.renewal_of(customer) {
-            renewal.now.notify_one();
+            renewal.wake.notify_one();
         }
     }
 
-    /// Tokens that requests and other routers wait for, by customer.
-    pub(super) fn needed(&self) -> HashMap<String, Tokens> {
-        let mut needed = self.waiting.borrow().needed();
-        for (customer, tokens) in self.asked.borrow().iter() {
+    /// Tokens that local requests and other routers are waiting for, by customer.
+    pub(super) fn tokens_needed(&self) -> HashMap<String, Tokens> {
+        let mut needed = self.waiting.borrow().tokens_needed();
+        for (customer, tokens) in self.requested_by_peers.borrow().iter() {
             *needed.entry(customer.clone()).or_default() += *tokens;
         }
         needed
     }
 
-    /// Notes that all that were asked have no tokens of a customer.
-    pub(super) fn note_nothing(&self, customer: &str) {
-        let mut nothing = self.nothing.borrow_mut();
-        nothing.insert(customer.to_owned(), Instant::now());
+    /// Notes that none of the lenders asked has tokens of a customer left.
+    pub(super) fn note_loans_exhausted(&self, customer: &str) {
+        let mut exhausted = self.loans_exhausted_at.borrow_mut();
+        exhausted.insert(customer.to_owned(), Instant::now());
     }
 
-    /// How long ago all that were asked had no tokens of a customer, where nothing has changed since.
-    pub(super) fn nothing_for(&self, customer: &str) -> Option<Millis> {
-        let nothing = self.nothing.borrow();
-        let at = nothing.get(customer)?;
+    /// How long ago all lenders asked had no tokens of a customer; `None` once tokens or a new configuration have
+    /// arrived since.
+    pub(super) fn loans_exhausted_for(&self, customer: &str) -> Option<Millis> {
+        let exhausted = self.loans_exhausted_at.borrow();
+        let at = exhausted.get(customer)?;
         Some(Millis(at.elapsed().as_millis() as u64))
     }
 
-    /// Answers again what waits for a grant.
+    /// Tries again to start the requests that wait for a grant.
     pub(super) fn retry_waiting(&self) {
         let mut state = self.state.borrow_mut();
         self.waiting.borrow_mut().retry(&mut state, self.now());
     }
 }
 
-/// What other routers have at which target, by router, and when they told it.
+/// Outstanding requests of the other routers at each target, by router, with the time of each report.
 #[derive(Debug, Default)]
 pub(super) struct PeerLoads(HashMap<String, (Millis, Vec<Outstanding>)>);
 
 impl PeerLoads {
-    /// Replaces what a router has.
+    /// Replaces a router's report, and drops reports that are too old.
     pub(super) fn set(&mut self, now: Millis, router: &str, outstanding: Vec<Outstanding>) {
         self.0.insert(router.to_owned(), (now, outstanding));
         self.0
-            .retain(|_, (at, _)| now.saturating_sub(*at) < LOAD_BELIEVED);
+            .retain(|_, (at, _)| now.saturating_sub(*at) < PEER_LOAD_MAX_AGE);
     }
 
-    /// What all of them have.
+    /// Iterates over the outstanding requests of all routers.
     pub(super) fn all(&self) -> impl Iterator<Item = &Outstanding> {
         self.0.values().flat_map(|(_, outstanding)| outstanding)
     }
--- a/src/gateway/control/evacuations.rs
+++ b/src/gateway/control/evacuations.rs
@@ -1,4 +1,5 @@
-//! Keeps in step with the other routers about the halls that operators have emptied, where the store does not tell.
+//! Learns which halls operators have evacuated: puts views in force, and asks other routers while the store does not
+//! answer.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,11 +9,11 @@
 use crate::gateway::members::Router;
 use crate::gateway::message::{Reply, Request};
 
-/// Age of the last read of the operators' records from which on other routers are asked: the store answers each read
-/// within a second, and a silent one is asked again after 0.6 s more.
-const READ_FRESH: Duration = Duration::from_millis(1_800);
+/// Age of the last read of the operators' records beyond which other routers are asked. The store answers each read
+/// within a second, and a read without an answer is repeated after another 0.6 s.
+const READ_MAX_AGE: Duration = Duration::from_millis(1_800);
 
-/// Puts a view in force, and logs what is new in it.
+/// Puts a view in force, and logs its changes.
 pub(super) fn set(control: &Control, view: View, source: &str) {
     let before = control.evacuations.borrow_mut().replace(view.clone());
     let before = before.unwrap_or_default();
@@ -31,16 +32,19 @@
     state.targets.set_evacuated(now, &view.halls);
 }
 
-/// Whether the operators' records have not been read for a while.
+/// Whether the last read of the operators' records is too old to rely on.
 pub(super) fn is_stale(control: &Control) -> bool {
-    let read = control.operators_read.get();
-    read.is_none_or(|at| at.elapsed() > READ_FRESH)
+    let read_at = control.operators_read_at.get();
+    read_at.is_none_or(|at| at.elapsed() > READ_MAX_AGE)
 }
 
-/// Asks another router for its view, and takes it where it is later.
-pub(super) async fn ask(control: Rc<Control>, router: Router) {
-    // Whether a router answers is learned from heartbeats.
-    let answer = control.links.ask(router.link, &Request::Evacuations).await;
+/// Asks another router for its view, and puts it in force if it is later than this router's.
+pub(super) async fn request_view(control: Rc<Control>, router: Router) {
+    // A missing answer is ignored: heartbeats tell whether a router answers.
+    let answer = control
+        .peer_client
+        .ask(router.link, &Request::Evacuations)
+        .await;
     if let Ok(Reply::Evacuations(Some(view))) = answer
         && is_stale(&control)
     {
--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -1,12 +1,12 @@
-//! Follows what others write to the store: the configuration, the list of targets, the routers. Each
-//! topic has a task, which owns its offset; what is read is taken in by [`apply`].
+//! Follows the topics that others write to in the store: the operators' records, the list of targets, the routers'
+//! entries. Each topic has a task, which owns its offset; [`apply`] applies the records.
 
 use std::rc::Rc;
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep, timeout};
 
-use super::apply::Reading;
+use super::apply::PageContent;
 use super::context::Control;
 use super::{apply, quarantine};
 use crate::gateway::escrow::Seen;
@@ -14,36 +14,37 @@
 use crate::store::{CallError, Era, Page, Partition, Place, Record, Timeout, Topic, hedge};
 use crate::util;
 
-/// How long the store holds a read of the configuration until there is a change. A change
-/// has to be in force within 11 s.
-const CONFIG_WAIT: Duration = Duration::from_millis(1_000);
+/// How long the store delays its answer to a read of the configuration until there is a change (long poll). A change
+/// must be in force within 11 s.
+const CONFIG_POLL: Duration = Duration::from_millis(1_000);
 /// Interval of reads of the list of targets.
 const TARGETS_INTERVAL: Duration = Duration::from_millis(500);
 /// Pause after a read that failed.
 const FAILED_PAUSE: Duration = Duration::from_millis(150);
-/// How long a target that is not listed any more still counts after the store is back: its entry may
-/// have lapsed because it could not write either. Targets that live are back within about two seconds;
-/// the next read comes [`TARGETS_INTERVAL`] later.
+/// How long a target that is no longer listed stays in use after the store is back: its entry may have expired because
+/// the target could not write either. Running targets are listed again within about two seconds; the next read follows
+/// [`TARGETS_INTERVAL`] later.
 const LAPSED_GRACE: Duration = Duration::from_millis(1_700);
 
-/// How long the list may have entries of the copy that the store has come back from: one whose target does not write
-/// any more goes after three of its heartbeats.
-const COPIED_ENTRIES: Duration = Duration::from_millis(6_000);
+/// How long after a restore the list may hold entries of the restored copy whose targets have ended: such an entry
+/// expires after three heartbeats of its target.
+const RESTORED_ENTRIES_MAX_AGE: Duration = Duration::from_millis(6_000);
 
-/// A place in a partition that is followed.
+/// Reads a partition continuously.
 struct Follower {
     partition: Partition,
+    /// Where the next read starts; `None` to read the newest records.
     next: Option<Place>,
-    /// The place that it had, where the store does not have that any more.
-    lost: Option<Place>,
+    /// The last place, if the store no longer has it.
+    lost_place: Option<Place>,
     /// The era of the last read.
     era: Option<Era>,
     timeout: Timeout,
 }
 
-/// What a read brought.
-struct Step {
-    reading: Reading,
+/// The result of a read.
+struct ReadPage {
+    content: PageContent,
     page: Page,
 }
 
@@ -52,20 +53,24 @@
         Self {
             partition: Partition { topic, number: 0 },
             next: None,
-            lost: None,
+            lost_place: None,
             era: None,
             timeout: Timeout::default(),
         }
     }
 
-    /// Reads on. After anything that leaves doubt, the next read is of the newest records.
-    async fn step(&mut self, control: &Control, wait: Duration) -> Result<Step, CallError> {
-        let asked = control.now();
+    /// Reads the next page. After any error the following read starts over with the newest records.
+    async fn read_next(
+        &mut self,
+        control: &Control,
+        wait: Duration,
+    ) -> Result<ReadPage, CallError> {
+        let asked_at = control.now();
         let result = self.read(control, wait).await;
         if let Some(next) = self.next.filter(|_| result.is_ok()) {
             let seen = Seen {
                 era: next.era,
-                at: asked,
+                at: asked_at,
             };
             control.state.borrow_mut().note_store(seen);
         }
@@ -74,36 +79,36 @@
             .shared
             .note_call(self.partition.topic, &result.as_ref().map(|_| ()));
         match result {
-            Ok(step) => Ok(step),
+            Ok(read) => Ok(read),
             Err(error) => {
                 let before = self.next.take();
                 if error.loses_place() {
-                    self.lost = before;
+                    self.lost_place = before;
                 }
                 Err(error)
             }
         }
     }
 
-    async fn read(&mut self, control: &Control, wait: Duration) -> Result<Step, CallError> {
+    async fn read(&mut self, control: &Control, wait: Duration) -> Result<ReadPage, CallError> {
         let (store, partition) = (&control.store, self.partition);
         let silent = || control.shared.note_silence(partition.topic);
         let Some(from) = self.next else {
             let newest = || store.newest(partition, hedge::ANSWER_MAX);
             let page = hedge::hedged(hedge::HEDGE_AFTER, silent, newest).await?;
             self.next = Some(page.next);
-            if let Some(before) = self.lost.take() {
+            if let Some(before) = self.lost_place.take() {
                 let (topic, now) = (partition.topic, page.next);
                 let records = page.records.len();
                 tracing::info!(event = "topic_read_anew", ?topic, %before, %now, records);
             }
             let era = page.next.era;
             let before = self.era.replace(era);
-            let reading = match before {
-                Some(before) if before < era => Reading::Copy,
-                _ => Reading::All,
+            let content = match before {
+                Some(before) if before < era => PageContent::RestoredSnapshot,
+                _ => PageContent::Snapshot,
             };
-            return Ok(Step { reading, page });
+            return Ok(ReadPage { content, page });
         };
         let read = || store.read(partition, from, wait, hedge::ANSWER_MAX);
         let page = hedge::hedged(hedge::HEDGE_AFTER + wait, silent, read).await?;
@@ -112,17 +117,17 @@
             return Err(CallError::Gone { first });
         }
         self.next = Some(page.next);
-        let reading = Reading::Changes;
-        Ok(Step { reading, page })
+        let content = PageContent::Changes;
+        Ok(ReadPage { content, page })
     }
 }
 
-/// Follows the operators' records: the configuration, and the halls that are emptied.
+/// Follows the operators' records: the configuration and the evacuations of halls.
 pub(super) async fn operators(control: Rc<Control>) {
     let mut follower = Follower::new(Topic::Config);
     loop {
-        match follower.step(&control, CONFIG_WAIT).await {
-            Ok(Step { reading, page }) => apply::operators(&control, &page, reading),
+        match follower.read_next(&control, CONFIG_POLL).await {
+            Ok(ReadPage { content, page }) => apply::operators(&control, &page, content),
             Err(error) if error.loses_place() => {}
             Err(_) => sleep(FAILED_PAUSE).await,
         }
@@ -132,38 +137,41 @@
 /// Follows the list of targets.
 pub(super) async fn targets(control: Rc<Control>) {
     let mut follower = Follower::new(Topic::Targets);
-    // Since when the list lacks targets that may come back, and whether the store was lost.
-    let mut lacks_since: Option<Instant> = None;
+    // Since when the list lacks targets that may come back.
+    let mut incomplete_since: Option<Instant> = None;
+    // Whether the store was lost or restored, and the list has not been complete since.
     let mut was_lost = false;
-    let mut restored: Option<Instant> = None;
+    let mut restored_at: Option<Instant> = None;
     loop {
-        match follower.step(&control, Duration::ZERO).await {
-            Ok(Step {
-                reading: Reading::Changes,
+        match follower.read_next(&control, Duration::ZERO).await {
+            Ok(ReadPage {
+                content: PageContent::Changes,
                 page,
             }) => {
                 for record in &page.records {
                     apply::target(&control, record, Freshness::Newest);
                 }
             }
-            Ok(Step { reading, page }) => {
-                if reading == Reading::Copy {
-                    restored = Some(Instant::now());
-                    lacks_since = None;
+            Ok(ReadPage { content, page }) => {
+                if content == PageContent::RestoredSnapshot {
+                    restored_at = Some(Instant::now());
+                    incomplete_since = None;
                     was_lost = true;
                 }
-                let is_copy = restored.is_some_and(|at| at.elapsed() < COPIED_ENTRIES);
-                let freshness = match is_copy {
+                let may_be_old =
+                    restored_at.is_some_and(|at| at.elapsed() < RESTORED_ENTRIES_MAX_AGE);
+                let freshness = match may_be_old {
                     true => Freshness::MayBeOld,
                     false => Freshness::Newest,
                 };
-                let grace = was_lost && lacks_since.is_none_or(|at| at.elapsed() < LAPSED_GRACE);
-                let is_complete = apply::all_targets(&control, &page, freshness, !grace);
+                let is_in_grace =
+                    was_lost && incomplete_since.is_none_or(|at| at.elapsed() < LAPSED_GRACE);
+                let is_complete = apply::all_targets(&control, &page, freshness, !is_in_grace);
                 if is_complete {
-                    lacks_since = None;
+                    incomplete_since = None;
                     was_lost = false;
                 } else {
-                    lacks_since.get_or_insert_with(Instant::now);
+                    incomplete_since.get_or_insert_with(Instant::now);
                     follower.next = None;
                 }
                 control.shared.set_has_targets();
@@ -186,51 +194,51 @@
     let mut follower = Follower::new(Topic::Routers);
     let interval = control.state.borrow().members.interval();
     loop {
-        let result = follower.step(&control, Duration::ZERO).await;
+        let result = follower.read_next(&control, Duration::ZERO).await;
         match result {
-            // What a copy has of a router that is known is older than that.
-            Ok(Step {
-                reading: Reading::Copy,
+            // Entries in a restored copy are older than what is already known of a router.
+            Ok(ReadPage {
+                content: PageContent::RestoredSnapshot,
                 page,
             }) => {
                 let known = apply::known_routers(&control);
-                take_routers(&control, &page, |name| !known.contains(name));
+                apply_routers(&control, &page, |name| !known.contains(name));
             }
-            Ok(Step { page, .. }) => take_routers(&control, &page, |_| true),
-            // The next read is of the newest entries.
+            Ok(ReadPage { page, .. }) => apply_routers(&control, &page, |_| true),
+            // The next read starts over with the newest entries.
             Err(error) if error.loses_place() => {}
             Err(_) => control.state.borrow_mut().members.note_unread(),
         }
         control.publish_caller_addresses();
-        write_own(&control, &mut follower).await;
+        write_own_entry(&control, &mut follower).await;
         let changed = control.shared.entry_changed.notified();
-        // Both ends of the wait mean the same.
+        // A timeout and a wake-up have the same effect.
         let _ = timeout(interval, changed).await;
     }
 }
 
-/// Takes in a page of the routers' topic, with the entries of those routers that `includes` names.
-fn take_routers(control: &Control, page: &Page, includes: impl Fn(&str) -> bool) {
+/// Applies a page of the routers' topic, restricted to the entries of routers for which `includes` holds.
+fn apply_routers(control: &Control, page: &Page, includes: impl Fn(&str) -> bool) {
     let now = control.now();
     control.state.borrow_mut().members.note_read(now);
     for record in &page.records {
-        if !quarantine::take_row(control, record) && includes(&record.key) {
+        if !quarantine::apply_row(control, record) && includes(&record.key) {
             apply::router(control, record);
         }
     }
 }
 
-/// Writes this router's entry, and with it the requests that it holds back where they have changed. An append that
-/// fails is noted, and repeated with the next heartbeat.
-async fn write_own(control: &Control, follower: &mut Follower) {
+/// Writes this router's entry, together with its quarantined requests if they have changed. A failed append is
+/// recorded, and repeated with the next heartbeat.
+async fn write_own_entry(control: &Control, follower: &mut Follower) {
     let partition = follower.partition;
-    let mut records = vec![own_record(control)];
+    let mut records = vec![own_entry(control)];
     let row = quarantine::own_row(control);
     let held = row.map(|(record, held)| {
         records.push(record);
         held
     });
-    let begun = Instant::now();
+    let begun_at = Instant::now();
     let limit = follower.timeout.get();
     let result = control.store.append(partition, &records, None, limit).await;
     if result.is_ok() {
@@ -241,16 +249,16 @@
             .note_written(control.now());
     }
     if let (Ok(end), Some(held)) = (&result, held) {
-        control.row_held.replace((end.era, held));
+        control.written_holds.replace((end.era, held));
     }
-    follower.timeout.note(&result, begun.elapsed());
+    follower.timeout.note(&result, begun_at.elapsed());
     control
         .shared
         .note_call(partition.topic, &result.as_ref().map(|_| ()));
 }
 
-/// This router's entry with the next heartbeat.
-fn own_record(control: &Control) -> Record {
+/// This router's entry, with its heartbeat counter incremented.
+fn own_entry(control: &Control) -> Record {
     let mut state = control.state.borrow_mut();
     let me = &mut state.members.me;
     me.heartbeat += 1;
--- a/src/gateway/control/link.rs
+++ b/src/gateway/control/link.rs
@@ -1,7 +1,7 @@
-//! The links between routers: each exchanges heartbeats with some of the others a few times a second.
+//! The links between routers: each router exchanges heartbeats with a few others several times a second.
 //!
-//! A heartbeat says what a router has at which target. Where the store does not answer one of them,
-//! it gets the other's configuration and list of targets, so that it goes on with what is in force.
+//! A heartbeat carries a router's outstanding requests at each target. A router that the store does not answer gets the
+//! configuration and the list of targets from its peer, so that it keeps up with what is in force.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,30 +12,30 @@
 use tokio::time::sleep;
 use tokio_util::sync::CancellationToken;
 
-use super::context::{Control, FAN_OUT, ROUND};
+use super::context::{Control, FAN_OUT, ROUND_INTERVAL};
 use super::{apply, clock, evacuations, loans, notices, quarantine};
 use crate::gateway::members::{Router, Source};
 use crate::gateway::message::{Heartbeat, Reply, Request};
 use crate::wire;
 
-/// Longest wait for an answer. A router that takes longer is frozen or cut off.
-const ANSWER_MAX: Duration = Duration::from_millis(400);
+/// Timeout of a request to another router. A router that takes longer is frozen or cut off.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Another router's request, and where its answer goes.
-pub(super) type Question = (Request, oneshot::Sender<Reply>);
+/// Another router's request, and the sender for its answer.
+pub(super) type PeerRequest = (Request, oneshot::Sender<Reply>);
 
-/// A client for the links.
+/// A client for requests to other routers.
 pub(super) fn client(key: &str) -> wire::Client {
-    wire::Client::new(key).with_wait(ANSWER_MAX)
+    wire::Client::new(key).with_wait(ANSWER_TIMEOUT)
 }
 
-/// Passes other routers' requests to the control thread's loop until `closing`, and then until those that
-/// have come are answered.
+/// Passes other routers' requests to the control thread's loop until `shutdown`, and then until the requests already
+/// received are answered.
 pub(super) async fn listen(
     listener: std::net::TcpListener,
     key: String,
-    asked: mpsc::UnboundedSender<Question>,
-    closing: CancellationToken,
+    requests: mpsc::UnboundedSender<PeerRequest>,
+    shutdown: CancellationToken,
 ) {
     let listener = match TcpListener::from_std(listener) {
         Ok(listener) => listener,
@@ -45,20 +45,20 @@
         }
     };
     let answer = move |request: Request| {
-        let asked = asked.clone();
+        let requests = requests.clone();
         async move {
-            // Without the control thread the process is ending, and the peer is told so.
+            // If the control thread has ended, the process is ending: there is no answer, and the peer is told so.
             let (reply, answer) = oneshot::channel();
-            asked.send((request, reply)).ok()?;
+            requests.send((request, reply)).ok()?;
             answer.await.ok()
         }
     };
     let key_hash = crate::util::hash_secret(&key);
-    wire::serve(listener, key_hash, answer, closing).await;
+    wire::serve(listener, key_hash, answer, shutdown).await;
 }
 
-/// Answers another router. Once grants are given back, tokens that change hands would end with this
-/// process.
+/// Answers another router's request. Once grants are being given back, loans and transfers are declined: the tokens
+/// would be lost with this process.
 pub(super) fn answer(control: &Rc<Control>, request: Request, reply: oneshot::Sender<Reply>) {
     let gives_back = control.shared.stop.gives_back();
     let answer = match request {
@@ -75,7 +75,7 @@
             return;
         }
         Request::Give { customer, tokens } => {
-            loans::take(control, &customer, tokens);
+            loans::receive(control, &customer, tokens);
             Reply::Taken
         }
         Request::Clocks => Reply::Clocks(clock::read(control)),
@@ -86,18 +86,18 @@
             Reply::Noted
         }
     };
-    // A peer that has hung up meanwhile asks again.
+    // A peer that has disconnected meanwhile asks again.
     let _ = reply.send(answer);
 }
 
-fn answer_heartbeat(control: &Control, theirs: Heartbeat) -> Reply {
+fn answer_heartbeat(control: &Control, received: Heartbeat) -> Reply {
     let own = own_heartbeat(control);
-    let config = (own.config > theirs.config)
+    let config = (own.config > received.config)
         .then(|| control.shared.config_bytes.load_full())
         .flatten();
-    let knows_more = own.store_answers && !theirs.store_answers;
-    let targets = knows_more.then(|| control.state.borrow().targets.view());
-    take(control, theirs);
+    let peer_lacks_store = own.store_answers && !received.store_answers;
+    let targets = peer_lacks_store.then(|| control.state.borrow().targets.view());
+    apply_heartbeat(control, received);
     Reply::Heartbeat {
         heartbeat: Box::new(own),
         config: config.map(|bytes| bytes.to_vec()),
@@ -118,8 +118,8 @@
     }
 }
 
-/// Takes another router's heartbeat in.
-fn take(control: &Control, heartbeat: Heartbeat) {
+/// Applies another router's heartbeat.
+fn apply_heartbeat(control: &Control, heartbeat: Heartbeat) {
     let mut loads = control.peer_loads.borrow_mut();
     loads.set(control.now(), &heartbeat.router.name, heartbeat.outstanding);
     control.state.borrow_mut().targets.set_others(loads.all());
@@ -131,31 +131,32 @@
 /// Exchanges heartbeats with other routers until the process ends.
 pub(super) async fn send_heartbeats(control: Rc<Control>) {
     loop {
-        sleep(ROUND).await;
-        // The silence of a router that has ended is noticed by time, also between two reads of the routers' entries.
+        sleep(ROUND_INTERVAL).await;
+        // A router that has ended is detected by its silence, also between two reads of the routers' entries.
         control.publish_caller_addresses();
         let is_stale = evacuations::is_stale(&control);
-        for router in control.draw(FAN_OUT) {
+        for router in control.sample_routers(FAN_OUT) {
             if is_stale {
-                let asked = evacuations::ask(Rc::clone(&control), router.clone());
-                tokio::task::spawn_local(asked);
+                let request = evacuations::request_view(Rc::clone(&control), router.clone());
+                tokio::task::spawn_local(request);
             }
             let control = Rc::clone(&control);
-            tokio::task::spawn_local(async move { exchange(&control, router).await });
+            tokio::task::spawn_local(async move { exchange_heartbeats(&control, router).await });
         }
     }
 }
 
-async fn exchange(control: &Rc<Control>, router: Router) {
+async fn exchange_heartbeats(control: &Rc<Control>, router: Router) {
     let request = Request::Heartbeat(own_heartbeat(control));
-    match control.links.ask(router.link, &request).await {
+    match control.peer_client.ask(router.link, &request).await {
         Ok(Reply::Heartbeat {
             heartbeat,
             config,
             targets,
         }) => {
-            take(control, *heartbeat);
-            // A router that does not know the emptied halls serves nobody: without a configuration it refuses all.
+            apply_heartbeat(control, *heartbeat);
+            // Without the evacuated halls a router must serve nobody. It refuses all requests while it has no
+            // configuration, so it takes one only once it knows the halls.
             let knows_halls = control.evacuations.borrow().is_some();
             if let Some(config) = config
                 && knows_halls
--- a/src/gateway/control/loans.rs
+++ b/src/gateway/control/loans.rs
@@ -1,7 +1,7 @@
 //! Loans of prepaid tokens between routers, for what the store does not grant in time.
 //!
-//! A token is lent by counting it as spent at the lender, so that no sum over rows changes. A loan
-//! whose answer is lost is lost: it stays spent, and nobody can spend it twice.
+//! The lender counts lent tokens as spent, so no sum over rows changes. If the answer to a loan is lost, its tokens are
+//! lost too: they stay counted as spent, so they can never be spent twice.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,67 +18,67 @@
 use crate::units::Tokens;
 use crate::wire::Missing;
 
-/// Routers that are asked for a loan, one after the other. Half of the holders.
+/// Maximum number of routers asked for a loan, one after the other: half of the holders.
 const LENDERS_MAX: usize = 4;
-/// Those of them that are asked since they hold most, as far as is known. The rest are drawn, since rows are old where
-/// the store is lost.
+/// Maximum number of them that are chosen for holding the most tokens by the rows last read. The rest are chosen at
+/// random, since the rows are outdated while the store is lost.
 const RICHEST_MAX: usize = 2;
-/// How long a router that is asked for a loan waits for a grant that covers it. A write to the store takes
-/// a few milliseconds, and the one who asks waits for 400 and has others to ask.
+/// How long a lender waits for a grant that covers a loan. A write to the store takes a few milliseconds; the borrower
+/// waits 400 ms for an answer and has other lenders to ask.
 const RENEWAL_WAIT: Duration = Duration::from_millis(50);
-/// Renewals that such a router waits for: one may be under way that does not know of the loan yet.
+/// Maximum number of renewals that a lender waits for: one that is already under way may not include the loan yet.
 const RENEWALS_MAX: u32 = 2;
-/// Interval at which borrowed tokens that are not needed are given back.
-const GIVE_BACK_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Interval at which excess borrowed tokens are returned.
+const RETURN_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// What follows loans that are not enough.
+/// What to do when loans do not cover the waiting requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Fallback {
-    /// The store is asked for a grant.
+    /// Ask the store for a grant.
     Store,
-    /// Nothing: the store was asked before.
-    Nothing {
-        /// When that began.
-        store_asked: Instant,
+    /// Refuse the requests: the store was asked before.
+    Refuse {
+        /// When the request to the store began.
+        store_asked_at: Instant,
     },
 }
 
-/// Borrows for a customer's waiting requests in a task of its own.
+/// Spawns a task that borrows tokens for a customer's waiting requests.
 pub(super) fn spawn(control: &Rc<Control>, customer: String, fallback: Fallback) {
-    let loan = borrow(Rc::clone(control), customer, fallback);
-    tokio::task::spawn_local(loan);
+    let borrowing = borrow(Rc::clone(control), customer, fallback);
+    tokio::task::spawn_local(borrowing);
 }
 
-/// Borrows for the requests that wait after a partition's grants were renewed.
-pub(super) fn spawn_for_waiting(control: &Rc<Control>, partition: u32, store_asked: Instant) {
-    let customers = control.waiting.borrow().needed();
+/// Borrows tokens for the requests that still wait after a partition's grants were renewed.
+pub(super) fn spawn_for_waiting(control: &Rc<Control>, partition: u32, store_asked_at: Instant) {
+    let customers = control.waiting.borrow().tokens_needed();
     for customer in customers.into_keys() {
         if control.partition_of(&customer) == partition {
-            spawn(control, customer, Fallback::Nothing { store_asked });
+            spawn(control, customer, Fallback::Refuse { store_asked_at });
         }
     }
 }
 
-/// Borrows what a customer's waiting requests lack, from as many routers as it takes.
+/// Borrows the tokens that a customer's waiting requests lack, from as many routers as it takes.
 async fn borrow(control: Rc<Control>, customer: String, fallback: Fallback) {
     if !control.borrowing.borrow_mut().insert(customer.clone()) {
         return;
     }
-    let begun = Instant::now();
+    let begun_at = Instant::now();
     let lenders = lenders(&control, &customer);
-    let mut had_nothing = 0;
+    let mut empty_lenders = 0;
     let asked = lenders.len();
     for lender in lenders {
-        let Some(loan) = loan(&control, &customer) else {
+        let Some(loan) = required_loan(&control, &customer) else {
             break;
         };
         let request = Request::Lend {
             customer: customer.clone(),
             loan,
         };
-        let lent = match control.links.ask(lender.link, &request).await {
+        let lent = match control.peer_client.ask(lender.link, &request).await {
             Ok(Reply::Lent(lent)) => lent,
-            // It gives back what it has, and others get that.
+            // The lender is stopping: it gives its tokens back, and other routers get them.
             Ok(_) => continue,
             Err(missing) => {
                 control.set_unreachable(&lender, missing);
@@ -86,12 +86,12 @@
             }
         };
         if control.shared.stop.gives_back() {
-            // Nothing waits for it any more, and what is kept here ends with the process.
+            // No request waits for the loan any more, and tokens kept here are lost when the process ends.
             transfer(&control, customer.clone(), lent, vec![lender.link]).await;
             break;
         }
         if lent == Tokens::ZERO {
-            had_nothing += 1;
+            empty_lenders += 1;
         }
         control.state.borrow_mut().borrow(&customer, lent);
         let (lacking, wanted) = (loan.lacking.0, loan.wanted.0);
@@ -100,38 +100,38 @@
         control.retry_waiting();
     }
     control.borrowing.borrow_mut().remove(&customer);
-    if loan(&control, &customer).is_none() {
+    if required_loan(&control, &customer).is_none() {
         return;
     }
-    let store_asked = match fallback {
+    let store_asked_at = match fallback {
         Fallback::Store if control.shared.store_answers() => {
             control.renew_now(&customer);
             return;
         }
-        Fallback::Store => begun,
-        Fallback::Nothing { store_asked } => store_asked,
+        Fallback::Store => begun_at,
+        Fallback::Refuse { store_asked_at } => store_asked_at,
     };
-    if asked > 0 && had_nothing == asked {
-        control.note_nothing(&customer);
+    if asked > 0 && empty_lenders == asked {
+        control.note_loans_exhausted(&customer);
     }
-    shortage::refuse_asked(&control, &customer, store_asked);
-    // Requests that came meanwhile have not been asked for.
-    if loan(&control, &customer).is_some() {
+    shortage::refuse_queued_before(&control, &customer, store_asked_at);
+    // No tokens have been requested yet for requests that arrived meanwhile.
+    if required_loan(&control, &customer).is_some() {
         spawn(&control, customer, Fallback::Store);
     }
 }
 
-/// What a customer's waiting requests lack, if they lack anything.
-fn loan(control: &Control, customer: &str) -> Option<Loan> {
-    let needed = control.waiting.borrow().needed().remove(customer)?;
+/// The loan that a customer's waiting requests need; `None` where they need none.
+fn required_loan(control: &Control, customer: &str) -> Option<Loan> {
+    let needed = control.waiting.borrow().tokens_needed().remove(customer)?;
     let mut state = control.state.borrow_mut();
     let lacking = state.lacking(control.now(), customer, needed);
     let wanted = lacking + state.demand(control.now(), customer);
     (lacking > Tokens::ZERO).then_some(Loan { lacking, wanted })
 }
 
-/// The routers that are asked for a loan, in turn: those that hold most by the rows that were last read, then some of
-/// those that hold the customer's grants, in random order.
+/// The routers to ask for a loan, in order: those that hold the most tokens by the rows last read, then a random sample
+/// of the other holders of the customer's grants.
 fn lenders(control: &Control, customer: &str) -> Vec<Router> {
     let state = control.state.borrow();
     let (now, name) = (control.now(), &state.members.me.name);
@@ -147,9 +147,9 @@
     lenders.into_iter().cloned().collect()
 }
 
-/// Lends to another router that asks. Where this one may not spend as much before it writes to the store, or has no
-/// more and the budget has, it writes first: a borrower that the store gives no grants asks again before that write
-/// is done otherwise.
+/// Lends to another router. Where this router may not spend as much before it writes to the store, or has no more while
+/// the budget has, it writes first. Otherwise a borrower that gets no grants from the store would ask again before that
+/// write is done.
 pub(super) async fn lend(control: &Control, customer: &str, loan: Loan) -> Tokens {
     let mut lent = lend_now(control, customer, loan);
     let until = Instant::now() + RENEWAL_WAIT;
@@ -162,7 +162,7 @@
             wanted: loan.wanted.saturating_sub(lent),
         };
         if !control.state.borrow().can_cover(customer, rest.lacking) {
-            // Others may have given something back since the rows were read.
+            // Other routers may have given tokens back since the rows were read.
             control.renew_now(customer);
             break;
         }
@@ -179,66 +179,73 @@
     state.lend(control.now(), customer, loan)
 }
 
-/// Has a customer's grant renewed with what another router lacks, and waits for the end of that, not beyond `until`.
+/// Requests a renewal of a customer's grant that covers the tokens another router lacks, and waits for its end, at most
+/// until `until`.
 async fn await_renewal(control: &Control, customer: &str, lacking: Tokens, until: Instant) {
     let Some(renewal) = control.renewal_of(customer) else {
         return;
     };
-    note_asked(control, customer, |asked| asked + lacking);
+    update_requested(control, customer, |requested| requested + lacking);
     let done = renewal.done.notified();
-    renewal.now.notify_one();
-    // What is there then is lent, whether or not that was in time.
+    renewal.wake.notify_one();
+    // On a timeout as well, the caller lends what is available by then.
     let _ = timeout_at(until, done).await;
-    note_asked(control, customer, |asked| asked.saturating_sub(lacking));
+    update_requested(control, customer, |requested| {
+        requested.saturating_sub(lacking)
+    });
 }
 
-/// Changes what other routers wait for of a customer's tokens.
-fn note_asked(control: &Control, customer: &str, change: impl Fn(Tokens) -> Tokens) {
-    let mut all = control.asked.borrow_mut();
-    let asked = all.remove(customer).unwrap_or_default();
-    let asked = change(asked);
-    if asked > Tokens::ZERO {
-        all.insert(customer.to_owned(), asked);
+/// Changes the number of a customer's tokens that other routers wait for.
+fn update_requested(control: &Control, customer: &str, change: impl Fn(Tokens) -> Tokens) {
+    let mut all = control.requested_by_peers.borrow_mut();
+    let requested = all.remove(customer).unwrap_or_default();
+    let requested = change(requested);
+    if requested > Tokens::ZERO {
+        all.insert(customer.to_owned(), requested);
     }
 }
 
-/// Takes tokens that another router gives.
-pub(super) fn take(control: &Control, customer: &str, tokens: Tokens) {
-    control.nothing.borrow_mut().remove(customer);
+/// Adds tokens that another router has transferred here.
+pub(super) fn receive(control: &Control, customer: &str, tokens: Tokens) {
+    control.loans_exhausted_at.borrow_mut().remove(customer);
     control.state.borrow_mut().borrow(customer, tokens);
     tracing::info!(event = "tokens_taken", %customer, tokens = tokens.0);
     control.retry_waiting();
 }
 
-/// Gives borrowed tokens that are not needed to routers that hold the customers' grants, until the
-/// process ends.
-pub(super) async fn give_back_excess(control: Rc<Control>) {
+/// Transfers excess borrowed tokens to routers that hold the customers' grants, until the process ends.
+pub(super) async fn return_excess(control: Rc<Control>) {
     loop {
-        sleep(GIVE_BACK_INTERVAL).await;
+        sleep(RETURN_INTERVAL).await;
         let excess = control.state.borrow_mut().take_excess(control.now());
         transfer_all(&control, excess).await;
     }
 }
 
-/// Gives tokens to routers that hold the customers' grants.
+/// Transfers tokens to routers that hold the customers' grants.
 pub(super) async fn transfer_all(control: &Control, tokens: Vec<(String, Tokens)>) {
     let transfers = tokens.into_iter().map(|(customer, tokens)| {
-        let takers = lenders(control, &customer);
-        let takers = takers.into_iter().map(|taker| taker.link).collect();
-        transfer(control, customer, tokens, takers)
+        let recipients = lenders(control, &customer);
+        let recipients = recipients.into_iter().map(|router| router.link).collect();
+        transfer(control, customer, tokens, recipients)
     });
     futures::future::join_all(transfers).await;
 }
 
-/// Gives tokens to the first of some routers that takes them; where none does, they stay here. Without an
-/// answer the asked one may have them, so they are lost here.
-async fn transfer(control: &Control, customer: String, tokens: Tokens, takers: Vec<SocketAddr>) {
-    for to in takers {
+/// Transfers tokens to the first of the routers that accepts them; if none does, they stay here. A router that does not
+/// answer may have added them, so they are given up here.
+async fn transfer(
+    control: &Control,
+    customer: String,
+    tokens: Tokens,
+    recipients: Vec<SocketAddr>,
+) {
+    for to in recipients {
         let request = Request::Give {
             customer: customer.clone(),
             tokens,
         };
-        let answer: Result<Reply, Missing> = control.links.ask(to, &request).await;
+        let answer: Result<Reply, Missing> = control.peer_client.ask(to, &request).await;
         let taken = matches!(answer, Ok(Reply::Taken));
         tracing::info!(event = "tokens_given", %customer, %to, tokens = tokens.0, taken);
         if !matches!(answer, Ok(Reply::Declined) | Err(Missing::Refused)) {
--- a/src/gateway/control/mod.rs
+++ b/src/gateway/control/mod.rs
@@ -1,8 +1,7 @@
-//! The control thread: the only one that changes the control state.
+//! The control thread: the only thread that changes the control state.
 //!
-//! It answers the traffic's questions and, in tasks of its own, keeps in step with the store
-//! (`follow`, `grants`) and with the other routers (`link`, `loans`). Nothing here waits while it has
-//! borrowed the state.
+//! It answers messages from the traffic thread. Its own tasks synchronize the state with the store (`follow`,
+//! `grants`) and with the other routers (`link`, `loans`). No task awaits while it holds a borrow of the state.
 
 mod apply;
 mod bad_entries;
@@ -31,7 +30,7 @@
 use tokio_util::task::TaskTracker;
 
 use self::context::Control;
-use self::waiting::{Waiting, answer};
+use self::waiting::{WaitingRequest, answer};
 use super::attempt::{Message, Reply};
 use super::decision::admission::{self, Lack, Source};
 use super::decision::refusal::Refusal;
@@ -41,23 +40,23 @@
 use super::state::{Settings, State};
 use crate::store::Store;
 
-/// What the control thread is started with.
+/// Arguments of the control thread.
 pub struct Parts {
     /// Settings of the control state.
     pub settings: Settings,
-    /// What the traffic sees.
+    /// State shared with the traffic thread.
     pub shared: Arc<Shared>,
     /// The deployment's store.
     pub store: Arc<dyn Store>,
-    /// What the deployment speaks.
+    /// The deployment's dialect.
     pub dialect: Arc<dyn Dialect>,
-    /// Bound for other routers.
+    /// Listener for other routers, already bound.
     pub link: std::net::TcpListener,
-    /// Secret that the routers of this fleet show each other.
+    /// Secret with which the routers of this fleet authenticate to each other.
     pub fleet_key: String,
-    /// Partitions of the store that customers are spread over.
+    /// Number of store partitions that customers are spread over.
     pub partitions: u32,
-    /// The traffic's questions.
+    /// Messages from the traffic thread.
     pub messages: mpsc::UnboundedReceiver<Message>,
 }
 
@@ -67,7 +66,7 @@
 /// Starts the control thread.
 ///
 /// # Panics
-/// Where the system gives no thread, without which the process cannot serve.
+/// If the system cannot start a thread: the process cannot serve without it.
 pub fn spawn(parts: Parts) {
     std::thread::Builder::new()
         .name(THREAD.to_owned())
@@ -84,51 +83,51 @@
     let control = Rc::new(Control {
         state: RefCell::new(State::new(parts.settings)),
         waiting: RefCell::default(),
-        asked: RefCell::default(),
+        requested_by_peers: RefCell::default(),
         renewals: RefCell::default(),
         partitions: parts.partitions,
         shared: parts.shared,
         store: parts.store,
         dialect: parts.dialect,
-        links: link::client(&parts.fleet_key),
-        link_closing: CancellationToken::new(),
-        link: TaskTracker::new(),
+        peer_client: link::client(&parts.fleet_key),
+        link_shutdown: CancellationToken::new(),
+        link_tasks: TaskTracker::new(),
         peer_loads: RefCell::default(),
         borrowing: RefCell::default(),
-        nothing: RefCell::default(),
+        loans_exhausted_at: RefCell::default(),
         bad_entries: RefCell::default(),
         bad_routers: RefCell::default(),
-        probed: RefCell::default(),
+        probing: RefCell::default(),
         notice_changed: Notify::new(),
-        notices_told: Cell::default(),
+        notice_messages: Cell::default(),
         evacuations: RefCell::default(),
-        halls_told: RefCell::default(),
-        halls_kept: RefCell::default(),
-        operators_read: Cell::default(),
-        holds: RefCell::default(),
-        row_held: RefCell::default(),
-        boot: started.map(|started| started.boot),
+        halls_in_store: RefCell::default(),
+        halls_retained: RefCell::default(),
+        operators_read_at: Cell::default(),
+        published_holds: RefCell::default(),
+        written_holds: RefCell::default(),
+        boot_id: started.map(|started| started.boot),
     });
-    let (asked, questions) = mpsc::unbounded_channel();
+    let (peer_requests, received) = mpsc::unbounded_channel();
     let tasks = LocalSet::new();
     tasks.spawn_local(follow::operators(Rc::clone(&control)));
     tasks.spawn_local(follow::targets(Rc::clone(&control)));
     tasks.spawn_local(follow::routers(Rc::clone(&control)));
-    let closing = control.link_closing.clone();
-    let link = link::listen(parts.link, parts.fleet_key, asked, closing);
-    tasks.spawn_local(control.link.track_future(link));
+    let shutdown = control.link_shutdown.clone();
+    let link = link::listen(parts.link, parts.fleet_key, peer_requests, shutdown);
+    tasks.spawn_local(control.link_tasks.track_future(link));
     tasks.spawn_local(link::send_heartbeats(Rc::clone(&control)));
-    tasks.spawn_local(quarantine::tell(Rc::clone(&control)));
-    tasks.spawn_local(notices::tell(Rc::clone(&control)));
+    tasks.spawn_local(quarantine::gossip(Rc::clone(&control)));
+    tasks.spawn_local(notices::gossip(Rc::clone(&control)));
     tasks.spawn_local(clock::compare(Rc::clone(&control)));
-    tasks.spawn_local(loans::give_back_excess(Rc::clone(&control)));
-    tasks.block_on(&runtime, serve(control, parts.messages, questions));
+    tasks.spawn_local(loans::return_excess(Rc::clone(&control)));
+    tasks.block_on(&runtime, serve(control, parts.messages, received));
 }
 
 async fn serve(
     control: Rc<Control>,
     mut messages: mpsc::UnboundedReceiver<Message>,
-    mut questions: mpsc::UnboundedReceiver<link::Question>,
+    mut peer_requests: mpsc::UnboundedReceiver<link::PeerRequest>,
 ) {
     loop {
         let expiry = control.waiting.borrow().next_expiry();
@@ -137,7 +136,7 @@
                 Some(message) => handle(&control, message),
                 None => return,
             },
-            Some((request, reply)) = questions.recv() => {
+            Some((request, reply)) = peer_requests.recv() => {
                 link::answer(&control, request, reply);
             }
             () = sleep_until(expiry) => shortage::refuse_expired(&control),
@@ -166,7 +165,7 @@
             let next = state.retry(now, job, ending, charge);
             answer(&mut state, now, reply, next);
         }
-        Message::Heard { job, notice } => notices::heard(control, job, &notice),
+        Message::Heard { job, notice } => notices::note_from_target(control, job, &notice),
         Message::Answered { job, load } => control.state.borrow_mut().answered(now, job, load),
         Message::BrokenOff { job } => quarantine::broken_off(control, job),
         Message::End { job, ending } => control.state.borrow_mut().end(now, job, ending),
@@ -180,7 +179,7 @@
             tokio::task::spawn_local(async move {
                 grants::give_back(&control).await;
                 control.close_link().await;
-                // Nobody waits any more once the time to give back is over.
+                // The receiver is gone once the time allowed for giving back is over.
                 let _ = done.send(());
             });
         }
@@ -208,23 +207,23 @@
     }
 }
 
-/// Has a request wait for a grant or a loan, and asks for one; refuses it where nobody is asked.
+/// Queues a request for a grant or a loan and asks for one; refuses it where there is nobody to ask.
 fn wait_for_grant(control: &Rc<Control>, job: Job, wait: Duration, reply: Reply) {
     let Some((customer, _)) = job.payer.clone() else {
         return;
     };
-    let since = Instant::now();
-    let waiting = Waiting {
+    let queued_at = Instant::now();
+    let waiting = WaitingRequest {
         job,
-        since,
-        until: since + wait,
+        queued_at,
+        deadline: queued_at + wait,
         reply,
     };
     let role = control.state.borrow_mut().role(control.now(), &customer);
     let lack = Lack {
         role,
         refusal: shortage::reason(control, &waiting.job),
-        nothing_for: control.nothing_for(&customer),
+        nothing_for: control.loans_exhausted_for(&customer),
     };
     match admission::grant_source(&lack) {
         Source::Store => {
--- a/src/gateway/control/notices.rs
+++ b/src/gateway/control/notices.rs
@@ -1,8 +1,8 @@
-//! Keeps in step with the other routers about what targets say of themselves.
+//! Exchanges the notices that targets send about themselves with the other routers, by gossip.
 //!
-//! A router that hears something new tells a few others at once, and so does each of those, so that the fleet knows
-//! within some ways between routers. What is in force is told again now and then, for those that no telling has
-//! reached; a router that has started asks. Each message is answered with what the other one knows.
+//! A router that learns something new sends it to a few others at once, and each of those does the same, so that the
+//! fleet knows after a few hops. Notices in force are repeated at intervals for routers that no message has reached,
+//! and a router that has just started asks for them. Each message is answered with the notices that its receiver knows.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -17,17 +17,17 @@
 use crate::gateway::message::{Reply, Request};
 use crate::gateway::notice::{Notice, Report};
 
-/// Least time between two tellings: what changes meanwhile is told together.
-const GAP: Duration = Duration::from_millis(100);
-/// Interval at which what is in force is told again.
-const AGAIN: Duration = Duration::from_millis(1_200);
-/// Answers of others after which a router that has started knows what they know.
-const ANSWERS_WANTED: u32 = 3;
-/// Tellings after a start in which others are asked, however few there are.
-const QUESTIONS_MAX: u32 = 50;
+/// Shortest time between two rounds: changes in between are sent together.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval at which notices in force are repeated.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(1_200);
+/// Answers from other routers after which a router that has just started knows what they know.
+const STARTUP_ANSWERS: u32 = 3;
+/// Maximum number of rounds after a start in which other routers are asked, however few answer.
+const STARTUP_ROUNDS_MAX: u32 = 50;
 
-/// Takes in what a request's target says of itself in the head of its answer.
-pub(super) fn heard(control: &Control, job: JobKey, notice: &Notice) {
+/// Applies the notice that a target sent in the head of its answer to a request.
+pub(super) fn note_from_target(control: &Control, job: JobKey, notice: &Notice) {
     let now = control.now();
     let news = control.state.borrow_mut().heard(now, job, notice);
     control.shared.notices.note(notice, &news);
@@ -39,7 +39,7 @@
     }
 }
 
-/// Publishes what targets say, for operators.
+/// Publishes the targets' notices for operators.
 fn publish(control: &Control) {
     let said = control.state.borrow().targets.said(control.now());
     if !(said.is_empty() && control.shared.said.load().is_empty()) {
@@ -47,15 +47,15 @@
     }
 }
 
-/// Takes in what another router tells, and answers with what is known here.
-pub(super) fn answer(control: &Control, told: &[Report]) -> Vec<Report> {
-    merge(control, told, None);
+/// Merges another router's reports, and answers with the reports known here.
+pub(super) fn answer(control: &Control, received: &[Report]) -> Vec<Report> {
+    merge(control, received, None);
     reports(control)
 }
 
 fn reports(control: &Control) -> Vec<Report> {
-    let turn = control.notices_told.get();
-    control.notices_told.set(turn.wrapping_add(1));
+    let turn = control.notice_messages.get();
+    control.notice_messages.set(turn.wrapping_add(1));
     control.state.borrow().targets.reports(control.now(), turn)
 }
 
@@ -67,22 +67,26 @@
     }
 }
 
-/// Tells other routers until the process ends.
-pub(super) async fn tell(control: Rc<Control>) {
+/// Sends the targets' notices to other routers until the process ends.
+pub(super) async fn gossip(control: Rc<Control>) {
     let answers = Rc::new(Cell::new(0));
-    let mut questions = 0;
+    let mut startup_rounds = 0;
     loop {
-        let asks = answers.get() < ANSWERS_WANTED && questions < QUESTIONS_MAX;
-        let interval = if asks { GAP } else { AGAIN };
-        // Both ends of the wait mean the same.
+        let is_starting = answers.get() < STARTUP_ANSWERS && startup_rounds < STARTUP_ROUNDS_MAX;
+        let interval = if is_starting {
+            MIN_INTERVAL
+        } else {
+            REPEAT_INTERVAL
+        };
+        // A timeout and a wake-up have the same effect.
         let _ = timeout(interval, control.notice_changed.notified()).await;
-        // What has ended by time, or with its incarnation, goes from the operators' view as well.
+        // Removes notices from the operators' view that have expired, or whose target incarnation has ended.
         publish(&control);
         let reports = reports(&control);
-        questions += u32::from(asks);
-        if asks || !reports.is_empty() {
+        startup_rounds += u32::from(is_starting);
+        if is_starting || !reports.is_empty() {
             let request = Rc::new(Request::Notices(reports));
-            for router in control.draw(FAN_OUT) {
+            for router in control.sample_routers(FAN_OUT) {
                 let (control, request) = (Rc::clone(&control), Rc::clone(&request));
                 let answers = Rc::clone(&answers);
                 tokio::task::spawn_local(async move {
@@ -91,14 +95,14 @@
                 });
             }
         }
-        sleep(GAP).await;
+        sleep(MIN_INTERVAL).await;
     }
 }
 
-/// Tells one router and takes its answer in; whether there was one.
+/// Sends reports to one router and merges those in its answer. Returns whether it answered.
 async fn exchange(control: &Control, router: Router, request: &Request) -> bool {
-    // Whether a router answers is learned from heartbeats; others tell it too.
-    match control.links.ask(router.link, request).await {
+    // A failure needs no action: heartbeats tell whether a router answers, and other routers send it the same reports.
+    match control.peer_client.ask(router.link, request).await {
         Ok(Reply::Notices(reports)) => {
             merge(control, &reports, Some(&router.name));
             true
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -1,9 +1,9 @@
-//! Finds out which targets have crashed under which requests, and keeps all routers in step about it.
+//! Detects which targets crashed while they served which requests, and shares that with all routers.
 //!
-//! A connection that breaks off may be the target's crash, or only the connection's; a port that nobody listens on
-//! any more tells. What follows from it is told over the links, a few routers a round, so that a fleet of hundreds
-//! knows within two seconds, and kept in the store beside this router's own entry, which costs no call of its own,
-//! for routers that start later.
+//! When a connection breaks off, either the target crashed or only the connection failed; a port that refuses
+//! connections shows that the target crashed. The findings are sent over the links to a few routers per round, so that
+//! a fleet of hundreds knows within two seconds. For routers that start later they are also kept in the store beside
+//! this router's own entry, which costs no extra call.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::context::{Control, FAN_OUT, ROUND};
+use super::context::{Control, FAN_OUT, ROUND_INTERVAL};
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::key::{JobKey, TargetKey};
 use crate::gateway::message::{Reply, Request};
@@ -22,43 +22,42 @@
 use crate::units::Millis;
 use crate::{util, wall_clock};
 
-/// Longest wait for a port to answer. One that is closed refuses within the way there and back; a host
-/// that says nothing may be cut off.
-const PROBE_MAX: Duration = Duration::from_millis(400);
-/// Interval at which what is held back is told again, and what is old forgotten. A router that starts
-/// while the store is silent learns it from one of the others within half of it.
-const TELL_AGAIN: Duration = Duration::from_millis(1_500);
-/// Before a router's name in the key of its row: no name has a slash.
+/// Timeout of a probe. A closed port refuses within one round trip; a host that does not answer may be cut off.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval at which quarantined requests are reported again and old findings are dropped. A router that starts while
+/// the store does not answer learns of them from one of the others within half of this interval.
+const REPEAT_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Prefix of a router's name in the key of its row. Router names contain no slash.
 const KEY_PREFIX: &str = "quarantine/";
 
-/// Looks into an attempt that broke off.
+/// Handles an attempt that broke off: probes the port of its target if that may have crashed.
 pub(super) fn broken_off(control: &Rc<Control>, job: JobKey) {
     let suspected = control.state.borrow_mut().broke_off(control.now(), job);
-    update(control);
+    publish_changes(control);
     let Some(target) = suspected else {
         return;
     };
-    if control.probed.borrow_mut().insert(target) {
+    if control.probing.borrow_mut().insert(target) {
         let control = Rc::clone(control);
         tokio::task::spawn_local(async move { probe(&control, target).await });
     }
 }
 
-/// Asks whether anybody listens at a target's port.
+/// Probes whether a target still listens on its port.
 async fn probe(control: &Control, target: TargetKey) {
     let address = control.state.borrow().targets.get(target).listing.address;
-    let connected = timeout(PROBE_MAX, TcpStream::connect(address)).await;
-    control.probed.borrow_mut().remove(&target);
-    // Any other end leaves open what has become of the target.
+    let connected = timeout(PROBE_TIMEOUT, TcpStream::connect(address)).await;
+    control.probing.borrow_mut().remove(&target);
+    // Any other outcome does not show whether the target has crashed.
     if let Ok(Err(error)) = connected
         && error.kind() == std::io::ErrorKind::ConnectionRefused
     {
         control.state.borrow_mut().crashed(control.now(), target);
-        update(control);
+        publish_changes(control);
     }
 }
 
-/// Takes in what another router tells.
+/// Merges another router's reports.
 pub(super) fn merge(control: &Control, reports: &[Report]) {
     let now = control.now();
     let mut state = control.state.borrow_mut();
@@ -66,15 +65,15 @@
         state.quarantine.merge(now, report);
     }
     drop(state);
-    update(control);
+    publish_changes(control);
 }
 
-/// Logs and publishes what has changed of what is held back.
-pub(super) fn update(control: &Control) {
+/// Logs and publishes changes of the quarantined requests.
+pub(super) fn publish_changes(control: &Control) {
     let now = control.now();
     let state = control.state.borrow();
     let holds = state.quarantine.holds();
-    let before = control.holds.replace(holds.clone());
+    let before = control.published_holds.replace(holds.clone());
     if before == *holds {
         return;
     }
@@ -112,31 +111,33 @@
     );
 }
 
-/// Tells other routers what has changed until the process ends.
-pub(super) async fn tell(control: Rc<Control>) {
-    let mut told_again = Instant::now();
+/// Sends changed findings to other routers until the process ends.
+pub(super) async fn gossip(control: Rc<Control>) {
+    let mut repeated_at = Instant::now();
     loop {
-        sleep(ROUND).await;
+        sleep(ROUND_INTERVAL).await;
         let now = control.now();
         let mut state = control.state.borrow_mut();
-        if told_again.elapsed() >= TELL_AGAIN {
-            told_again = Instant::now();
+        if repeated_at.elapsed() >= REPEAT_INTERVAL {
+            repeated_at = Instant::now();
             state.quarantine.forget(now);
             state.quarantine.tell_holds_again();
         }
         let reports = state.quarantine.tell(now);
         drop(state);
-        update(&control);
+        publish_changes(&control);
         if reports.is_empty() {
             continue;
         }
         let request = Rc::new(Request::Suspects(reports));
-        for router in control.draw(FAN_OUT) {
+        for router in control.sample_routers(FAN_OUT) {
             let (control, request) = (Rc::clone(&control), Rc::clone(&request));
             tokio::task::spawn_local(async move {
-                // Whether a router answers is learned from heartbeats; others tell it too.
-                let told: Result<Reply, _> = control.links.ask(router.link, &*request).await;
-                if let Err(missing) = told {
+                // A failure needs no action: heartbeats tell whether a router answers, and other routers send it the
+                // same reports.
+                let answer: Result<Reply, _> =
+                    control.peer_client.ask(router.link, &*request).await;
+                if let Err(missing) = answer {
                     tracing::debug!(event = "suspects_untold", name = %router.name, reason = %missing);
                 }
             });
@@ -145,31 +146,31 @@
 }
 
 /// The key of a router's row.
-fn key(router: &str) -> String {
+fn row_key(router: &str) -> String {
     format!("{KEY_PREFIX}{router}")
 }
 
-/// This router's row, if it is another than the one written last.
+/// This router's row, if it differs from the one last written.
 pub(super) fn own_row(control: &Control) -> Option<(Record, Vec<Fingerprint>)> {
     let state = control.state.borrow();
     let reports = state.quarantine.own_holds(control.now());
     let held: Vec<Fingerprint> = reports.iter().map(|report| report.fingerprint).collect();
-    // A store that has come back from a copy may lack the row.
-    let (era, written) = &*control.row_held.borrow();
+    // A store that was restored from a copy may lack the row.
+    let (era, written) = &*control.written_holds.borrow();
     if held == *written && (held.is_empty() || *era == control.store.era()) {
         return None;
     }
     let written = wall_clock::now()?.0;
     let row = Row { written, reports };
     let record = Record {
-        key: key(&state.members.me.name),
+        key: row_key(&state.members.me.name),
         value: (!held.is_empty()).then(|| util::encode(&row).into()),
     };
     Some((record, held))
 }
 
-/// Takes in a router's row, if the record is one.
-pub(super) fn take_row(control: &Control, record: &Record) -> bool {
+/// Applies a record if it is a router's row. Returns whether it is.
+pub(super) fn apply_row(control: &Control, record: &Record) -> bool {
     let Some(name) = record.key.strip_prefix(KEY_PREFIX) else {
         return false;
     };
@@ -180,7 +181,7 @@
         tracing::warn!(event = "quarantine_unreadable", %name, bytes = value.len());
         return true;
     };
-    // A host without a usable time of day takes the row for new: it holds back for too long rather than not at all.
+    // A host without a usable time of day treats the row as new: too long a quarantine is better than none.
     let age = wall_clock::now().map_or(Millis::ZERO, |now| now.saturating_sub(Millis(row.written)));
     let reports: Vec<Report> = row.reports.iter().map(|report| report.aged(age)).collect();
     merge(control, &reports);
@@ -194,7 +195,7 @@
     true
 }
 
-/// Why a request is held back, for the log of its refusal.
+/// Logs why a quarantined request is refused.
 pub(super) fn log_refusal(control: &Control, id: &str, fingerprint: Fingerprint) {
     let now = control.now();
     let state = control.state.borrow();
--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -1,9 +1,10 @@
-//! This router's rows in one partition of the store: reads what others wrote, and appends its own only
-//! where nothing has come in between.
+//! This router's rows in one partition of the store. It reads the rows that others wrote, and appends its own on the
+//! condition that nothing was written in between.
 //!
-//! An append whose answer is lost may have been done, or may be done yet. Its rows are remembered until
-//! the partition has moved on; until then the lower of both grants holds. Once the store has come back from a copy,
-//! what it has of this router may be older than what was acknowledged, so it says nothing of those appends.
+//! An append whose answer is lost may have been applied, or may still be. Its rows are remembered until the partition
+//! has moved on; until then the lower of both grants is in force. Once the store has been restored from a copy, its
+//! rows of this router may be older than those it acknowledged, so they are no evidence of whether such an append was
+//! applied.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -17,11 +18,12 @@
 use crate::store::{CallError, Era, Page, Partition, Place, Record, Timeout, Topic, hedge};
 use crate::units::Millis;
 
-/// Conditional appends in a row that others may win.
+/// Maximum number of conditional appends tried in succession when other routers write first.
 const ATTEMPTS_MAX: u32 = 12;
-/// Longest pause after others have won, in milliseconds; drawn, so that the same do not meet again.
+/// Longest pause after such a conflict, in milliseconds. The pause is random, so that the same routers do not collide
+/// again.
 const CONFLICT_PAUSE_MS: u64 = 12;
-/// Separates customer and router in a key.
+/// Separator between customer and router in a row's key.
 const SEPARATOR: char = '/';
 
 /// The key of a router's row of a customer's budget.
@@ -29,11 +31,11 @@
     format!("{customer}{SEPARATOR}{router}")
 }
 
-/// The rows of one partition, as far as they are known.
+/// How far one partition was read, and the appends to it whose outcome is unknown.
 #[derive(Debug)]
-pub(super) struct Rows {
+pub(super) struct Cursor {
     partition: Partition,
-    /// The place up to which rows are known.
+    /// The place up to which rows were read.
     next: Option<Place>,
     /// Rows whose append was not answered.
     unanswered: Vec<Unanswered>,
@@ -45,19 +47,20 @@
 struct Unanswered {
     customer: String,
     row: Row,
-    /// Where the partition had to end for it.
-    at: Place,
+    /// Where the partition had to end for the append to be applied.
+    expected_end: Place,
 }
 
 impl Unanswered {
-    /// Whether it is in the store by now or never will be, where the partition was read up to `next`.
+    /// Whether the outcome of the append is final, where the partition was read up to `next`: it was applied, or never
+    /// will be.
     fn is_settled(&self, next: Place) -> bool {
-        next.offset > self.at.offset
+        next.offset > self.expected_end.offset
     }
 }
 
-impl Rows {
-    /// Rows of which nothing is known yet.
+impl Cursor {
+    /// A cursor on a partition of which nothing was read yet.
     pub(super) fn new(number: u32) -> Self {
         Self {
             partition: Partition {
@@ -71,35 +74,35 @@
     }
 }
 
-/// What is written.
+/// Which rows are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// Rows that are worth a call.
+    /// The rows that are worth a call to the store.
     Renew,
-    /// All rows, without what is not used.
+    /// All rows, with their unused tokens given back.
     GiveBack,
 }
 
-/// Reads and writes until nobody else has written in between.
+/// Reads the partition and writes this router's rows, repeatedly until no other router writes in between.
 ///
 /// # Errors
-/// The store's; the rows may be in the store all the same where it gave no answer.
+/// The error of the store. If the store did not answer, the rows may have been written all the same.
 pub(super) async fn write(
     control: &Control,
-    known: &mut Rows,
+    cursor: &mut Cursor,
     purpose: Purpose,
 ) -> Result<(), CallError> {
     let mut result = Ok(());
     for _ in 0..ATTEMPTS_MAX {
-        let is_idle = !is_awaited(control, known) && known.unanswered.is_empty();
-        if is_idle && rows(control, known, purpose, control.store.era()).is_empty() {
+        let is_idle = !is_awaited(control, cursor) && cursor.unanswered.is_empty();
+        if is_idle && rows_to_write(control, cursor, purpose, control.store.era()).is_empty() {
             return Ok(());
         }
-        result = write_once(control, known, purpose).await;
+        result = write_once(control, cursor, purpose).await;
         let noted = result.as_ref().map(|_| ());
         control.shared.note_call(Topic::Prepaid, &noted);
         match &result {
-            // After a return from a copy other routers wait for these rows.
+            // When the store was restored from a copy, other routers wait for these rows.
             Err(error) if error.is_outdated() => {
                 let pause = rand::rng().random_range(0..CONFLICT_PAUSE_MS);
                 sleep(Duration::from_millis(pause)).await;
@@ -112,46 +115,46 @@
 
 async fn write_once(
     control: &Control,
-    known: &mut Rows,
+    cursor: &mut Cursor,
     purpose: Purpose,
 ) -> Result<(), CallError> {
-    let next = read(control, known).await?;
-    let rows = rows(control, known, purpose, next.era);
+    let next = read_to_end(control, cursor).await?;
+    let rows = rows_to_write(control, cursor, purpose, next.era);
     if rows.is_empty() {
         return Ok(());
     }
     control.state.borrow_mut().rows_sent(&rows);
     let records = records(control, &rows);
     let begun = Instant::now();
-    let limit = known.timeout.get();
+    let limit = cursor.timeout.get();
     let appended = control
         .store
-        .append(known.partition, &records, Some(next), limit)
+        .append(cursor.partition, &records, Some(next), limit)
         .await;
-    known.timeout.note(&appended, begun.elapsed());
+    cursor.timeout.note(&appended, begun.elapsed());
     match appended {
         Ok(end) => {
-            known.next = Some(end);
+            cursor.next = Some(end);
             let mut state = control.state.borrow_mut();
-            take_settled(known, end);
+            take_settled(cursor, end);
             state.rows_acknowledged(control.now(), &rows);
-            state.rows_sent(&unsettled(known));
+            state.rows_sent(&unsettled(cursor));
             drop(state);
-            log(&rows, next);
+            log_written(&rows, next);
             Ok(())
         }
         Err(error) if error.may_be_done() => {
             let unanswered = rows.into_iter().map(|(customer, row)| Unanswered {
                 customer,
                 row,
-                at: next,
+                expected_end: next,
             });
-            known.unanswered.extend(unanswered);
+            cursor.unanswered.extend(unanswered);
             Err(error)
         }
         Err(error) => {
-            // What was sent before may still be on its way, so only these rows are known not to be.
-            if known.unanswered.is_empty() {
+            // Rows sent before may still be in flight, so it is certain only for these rows that they are not.
+            if cursor.unanswered.is_empty() {
                 let mut state = control.state.borrow_mut();
                 state.rows_withdrawn(control.now(), &rows);
             }
@@ -160,22 +163,27 @@
     }
 }
 
-/// Whether a request waits for a grant of this partition.
-fn is_awaited(control: &Control, known: &Rows) -> bool {
-    let customers = control.needed();
+/// Whether a request or another router waits for a grant from this partition.
+fn is_awaited(control: &Control, cursor: &Cursor) -> bool {
+    let customers = control.tokens_needed();
     let mut customers = customers.into_keys();
-    customers.any(|customer| control.partition_of(&customer) == known.partition.number)
+    customers.any(|customer| control.partition_of(&customer) == cursor.partition.number)
 }
 
-/// The rows of a partition that are to be written in an era of the store.
-fn rows(control: &Control, known: &Rows, purpose: Purpose, era: Era) -> Vec<(String, Row)> {
-    let number = known.partition.number;
+/// The rows of a partition to write in an era of the store.
+fn rows_to_write(
+    control: &Control,
+    cursor: &Cursor,
+    purpose: Purpose,
+    era: Era,
+) -> Vec<(String, Row)> {
+    let number = cursor.partition.number;
     let is_here = |customer: &str| control.partition_of(customer) == number;
     match purpose {
-        // A renewal that was under way when grants were given back would take one again.
+        // A renewal already under way when grants were given back would take a grant again.
         Purpose::Renew if control.shared.stop.gives_back() => Vec::new(),
         Purpose::Renew => {
-            let waiting = control.needed();
+            let waiting = control.tokens_needed();
             let mut state = control.state.borrow_mut();
             state.rows(control.now(), era, &waiting, is_here)
         }
@@ -197,7 +205,7 @@
     rows.iter().map(record).collect()
 }
 
-fn log(rows: &[(String, Row)], at: Place) {
+fn log_written(rows: &[(String, Row)], place: Place) {
     for (customer, row) in rows {
         tracing::info!(
             event = "grant_written",
@@ -208,19 +216,19 @@
             demand = row.demand,
             cap = row.cap.map(|cap| cap.most.0),
             least_cap = row.cap.map(|cap| cap.least.0),
-            offset = at.offset,
-            era = at.era.0
+            offset = place.offset,
+            era = place.era.0
         );
     }
 }
 
-/// Reads up to the end of the partition, and returns that end.
-async fn read(control: &Control, known: &mut Rows) -> Result<Place, CallError> {
+/// Reads to the end of the partition, and returns its end.
+async fn read_to_end(control: &Control, cursor: &mut Cursor) -> Result<Place, CallError> {
     loop {
-        let (store, partition) = (&control.store, known.partition);
-        let asked = control.now();
+        let (store, partition) = (&control.store, cursor.partition);
+        let asked_at = control.now();
         let silent = || control.shared.note_silence(partition.topic);
-        let page = hedge::hedged(hedge::HEDGE_AFTER, silent, || match known.next {
+        let page = hedge::hedged(hedge::HEDGE_AFTER, silent, || match cursor.next {
             None => store.newest(partition, hedge::ANSWER_MAX),
             Some(from) => store.read(partition, from, Duration::ZERO, hedge::ANSWER_MAX),
         })
@@ -228,24 +236,24 @@
         if let Err(error) = &page
             && error.loses_place()
         {
-            known.next = None;
+            cursor.next = None;
         }
         let page = page?;
         let era = page.end.era;
         control
             .state
             .borrow_mut()
-            .note_store(Seen { era, at: asked });
-        take(control, known, &page);
-        known.next = Some(page.next);
+            .note_store(Seen { era, at: asked_at });
+        apply_page(control, cursor, &page);
+        cursor.next = Some(page.next);
         if page.next >= page.end {
             return Ok(page.next);
         }
     }
 }
 
-/// Takes rows in that were read. They settle whether unanswered appends were done.
-fn take(control: &Control, known: &mut Rows, page: &Page) {
+/// Applies the rows that were read. They settle whether unanswered appends were applied.
+fn apply_page(control: &Control, cursor: &mut Cursor, page: &Page) {
     let mut state = control.state.borrow_mut();
     let me = state.members.me.name.clone();
     let mut own = HashMap::new();
@@ -273,32 +281,34 @@
             own.insert(customer.to_owned(), row);
         }
     }
-    let settled = take_settled(known, page.next);
+    let settled = take_settled(cursor, page.next);
     if !settled.is_empty() {
         settle(&mut state, control.now(), settled, &own, page.next.era);
-        state.rows_sent(&unsettled(known));
+        state.rows_sent(&unsettled(cursor));
     }
 }
 
-/// Takes out the rows of which it is known by now whether they were done, where the partition was read up to `next`.
-fn take_settled(known: &mut Rows, next: Place) -> Vec<Unanswered> {
-    let (settled, left) = std::mem::take(&mut known.unanswered)
+/// Removes and returns the rows whose append has a final outcome, where the partition was read up to `next`.
+fn take_settled(cursor: &mut Cursor, next: Place) -> Vec<Unanswered> {
+    let (settled, left) = std::mem::take(&mut cursor.unanswered)
         .into_iter()
         .partition(|unanswered| unanswered.is_settled(next));
-    known.unanswered = left;
+    cursor.unanswered = left;
     settled
 }
 
-/// Rows that may still be done: a store that came back from a copy may reach the place once more that they wait for.
-fn unsettled(known: &Rows) -> Vec<(String, Row)> {
-    let unanswered = known.unanswered.iter();
+/// Rows whose append may still be applied: a store that was restored from a copy may reach the place that they expect
+/// once more.
+fn unsettled(cursor: &Cursor) -> Vec<(String, Row)> {
+    let unanswered = cursor.unanswered.iter();
     unanswered
         .map(|unanswered| (unanswered.customer.clone(), unanswered.row))
         .collect()
 }
 
-/// Settles rows whose append was not answered, by this router's own rows that were read. What a store that came back
-/// from a copy has of this router may be older than what it has acknowledged, so it acknowledges nothing.
+/// Settles rows whose append was not answered by comparing them with this router's own rows as read. Appends of an earlier
+/// era are not acknowledged: after a restore from a copy, the store's rows of this router may be older than those it
+/// acknowledged.
 fn settle(
     state: &mut State,
     now: Millis,
@@ -306,8 +316,10 @@
     own: &HashMap<String, Row>,
     era: Era,
 ) {
-    let of_now = settled.iter().filter(|unanswered| unanswered.at.era == era);
-    let done: Vec<(String, Row)> = of_now
+    let of_era = settled
+        .iter()
+        .filter(|unanswered| unanswered.expected_end.era == era);
+    let applied: Vec<(String, Row)> = of_era
         .filter(|unanswered| own.get(&unanswered.customer) == Some(&unanswered.row))
         .map(|unanswered| (unanswered.customer.clone(), unanswered.row))
         .collect();
@@ -316,5 +328,5 @@
         .map(|unanswered| (unanswered.customer, unanswered.row))
         .collect();
     state.rows_withdrawn(now, &settled);
-    state.rows_acknowledged(now, &done);
+    state.rows_acknowledged(now, &applied);
 }
--- a/src/gateway/control/shortage.rs
+++ b/src/gateway/control/shortage.rs
@@ -1,37 +1,39 @@
-//! Refuses requests whose tokens cannot come: everybody who could grant or lend them has been asked, or they
-//! have waited for long enough.
+//! Refuses requests that cannot get tokens: the store and all lenders were asked without success, or the longest
+//! wait is over.
 
 use tokio::time::Instant;
 
 use super::context::Control;
-use super::waiting::Waiting;
+use super::waiting::WaitingRequest;
 use crate::gateway::decision::refusal::{self, Reason, Refusal, Shortage};
 use crate::gateway::job::Job;
 
-/// Refuses the requests that have waited for long enough.
+/// Refuses the requests whose longest wait is over.
 pub(super) fn refuse_expired(control: &Control) {
     let expired = control.waiting.borrow_mut().take_expired(Instant::now());
     refuse(control, expired);
 }
 
-/// Refuses a customer's requests that waited at `asked` already, when the store and the other routers began to
-/// be asked for it. None of them has more, so a longer wait seldom gains.
-pub(super) fn refuse_asked(control: &Control, customer: &str, asked: Instant) {
-    let hopeless = control.waiting.borrow_mut().take_asked(customer, asked);
-    refuse(control, hopeless);
+/// Refuses a customer's requests that were queued at `asked_at` or before, when the store and the other routers were
+/// first asked for tokens. None of them has more, so a longer wait seldom helps.
+pub(super) fn refuse_queued_before(control: &Control, customer: &str, asked_at: Instant) {
+    let refused = control
+        .waiting
+        .borrow_mut()
+        .take_queued_before(customer, asked_at);
+    refuse(control, refused);
 }
 
-/// Refuses requests.
-pub(super) fn refuse(control: &Control, waiting: Vec<Waiting>) {
-    for waiting in waiting {
+pub(super) fn refuse(control: &Control, requests: Vec<WaitingRequest>) {
+    for waiting in requests {
         let refusal = reason(control, &waiting.job);
         log(control, &waiting.job, refusal);
-        // Its caller may have left.
+        // The caller may have disconnected.
         let _ = waiting.reply.send(Err(refusal));
     }
 }
 
-/// Why a request is refused if its tokens do not come.
+/// Why a request is refused if no tokens arrive for it.
 pub(super) fn reason(control: &Control, job: &Job) -> Refusal {
     let left = job.payer.as_ref().map(|(customer, prepaid)| {
         let (_, spent) = control.state.borrow().balance(control.now(), customer);
@@ -39,13 +41,13 @@
     });
     refusal::shortage(&Shortage {
         cost: job.max_cost(),
-        // What waits for tokens has a payer.
+        // Every request that waits for tokens has a payer.
         left: left.unwrap_or_default(),
         store_answers: control.shared.store_answers(),
     })
 }
 
-/// Logs what decided that a request cannot be paid for.
+/// Logs the figures by which a request cannot be paid for.
 pub(super) fn log(control: &Control, job: &Job, refusal: Refusal) {
     let Some((customer, prepaid)) = &job.payer else {
         return;
--- a/src/gateway/control/waiting.rs
+++ b/src/gateway/control/waiting.rs
@@ -10,30 +10,29 @@
 use crate::gateway::state::State;
 use crate::units::{Millis, Tokens};
 
-/// A request that waits.
+/// A request waiting for tokens.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct WaitingRequest {
     pub(super) job: Job,
-    pub(super) since: Instant,
-    /// Until then.
-    pub(super) until: Instant,
+    pub(super) queued_at: Instant,
+    /// Latest time to wait until.
+    pub(super) deadline: Instant,
     pub(super) reply: Reply,
 }
 
-/// All requests that wait.
+/// All waiting requests.
 #[derive(Debug, Default)]
 pub(super) struct Queue {
-    waiting: Vec<Waiting>,
+    waiting: Vec<WaitingRequest>,
 }
 
 impl Queue {
-    /// Adds a request.
-    pub(super) fn push(&mut self, waiting: Waiting) {
+    pub(super) fn push(&mut self, waiting: WaitingRequest) {
         self.waiting.push(waiting);
     }
 
-    /// Tokens that requests wait for, by customer.
-    pub(super) fn needed(&self) -> HashMap<String, Tokens> {
+    /// Tokens that the requests wait for, by customer.
+    pub(super) fn tokens_needed(&self) -> HashMap<String, Tokens> {
         let mut needed: HashMap<String, Tokens> = HashMap::new();
         for waiting in &self.waiting {
             if let Some((customer, _)) = &waiting.job.payer {
@@ -43,12 +42,12 @@
         needed
     }
 
-    /// When the first of them has waited for long enough.
+    /// The earliest deadline of any request.
     pub(super) fn next_expiry(&self) -> Option<Instant> {
-        self.waiting.iter().map(|waiting| waiting.until).min()
+        self.waiting.iter().map(|waiting| waiting.deadline).min()
     }
 
-    /// Starts those that can be paid for now, or are refused for another reason by now.
+    /// Answers the requests that can be paid for now, or are now refused for another reason.
     pub(super) fn retry(&mut self, state: &mut State, now: Millis) {
         for waiting in std::mem::take(&mut self.waiting) {
             let result = state.begin(now, waiting.job.clone());
@@ -58,7 +57,7 @@
                 tracing::info!(
                     event = "grant_waited",
                     id = %waiting.job.id,
-                    ms = waiting.since.elapsed().as_millis() as u64,
+                    ms = waiting.queued_at.elapsed().as_millis() as u64,
                     is_paid = result.is_ok()
                 );
                 answer(state, now, waiting.reply, result);
@@ -66,20 +65,24 @@
         }
     }
 
-    /// Takes out those that have waited for long enough.
-    pub(super) fn take_expired(&mut self, now: Instant) -> Vec<Waiting> {
-        self.take(|waiting| waiting.until <= now)
+    /// Removes and returns the requests whose deadline has passed.
+    pub(super) fn take_expired(&mut self, now: Instant) -> Vec<WaitingRequest> {
+        self.take_where(|waiting| waiting.deadline <= now)
     }
 
-    /// Takes out a customer's that waited at `asked` already.
-    pub(super) fn take_asked(&mut self, customer: &str, asked: Instant) -> Vec<Waiting> {
-        self.take(|waiting| {
+    /// Removes and returns a customer's requests that were queued at `time` or before.
+    pub(super) fn take_queued_before(
+        &mut self,
+        customer: &str,
+        time: Instant,
+    ) -> Vec<WaitingRequest> {
+        self.take_where(|waiting| {
             let payer = waiting.job.payer.as_ref();
-            waiting.since <= asked && payer.is_some_and(|(payer, _)| payer == customer)
+            waiting.queued_at <= time && payer.is_some_and(|(payer, _)| payer == customer)
         })
     }
 
-    fn take(&mut self, is_taken: impl Fn(&Waiting) -> bool) -> Vec<Waiting> {
+    fn take_where(&mut self, is_taken: impl Fn(&WaitingRequest) -> bool) -> Vec<WaitingRequest> {
         let waiting = std::mem::take(&mut self.waiting);
         let (taken, waiting) = waiting.into_iter().partition(is_taken);
         self.waiting = waiting;
@@ -87,7 +90,7 @@
     }
 }
 
-/// Answers a request. Where its caller has left meanwhile, the attempt ends at once.
+/// Answers a request. If its caller has disconnected meanwhile, ends the attempt at once.
 pub(super) fn answer(
     state: &mut State,
     now: Millis,
