--- a/tests/control_panic.rs
+++ b/tests/control_panic.rs
@@ -1,40 +1,41 @@
-//! A panic of the thread that a process cannot do without ends the process; one of another thread does not.
+//! A panic of an essential thread ends the process; a panic of another thread does not.
 
 use std::process::{Command, ExitStatus};
 use std::thread;
 
 use lanedeck::panics;
 
-const ROLE: &str = "CONTROL_PANIC_THREAD";
-const NEEDED: &str = "needed";
+/// Environment variable with the name of the thread that panics.
+const THREAD_VARIABLE: &str = "CONTROL_PANIC_THREAD";
+const ESSENTIAL_THREAD: &str = "needed";
 
-/// Runs this test's program again, as a process in which a thread of this name panics.
+/// Runs this test binary again as a process in which a thread of this name panics, and returns its exit status.
 fn status_after(name: &str) -> ExitStatus {
     let program = std::env::current_exe().unwrap();
     let mut command = Command::new(program);
     let output = command
         .arg("--exact")
         .arg("panicking_process")
-        .env(ROLE, name);
+        .env(THREAD_VARIABLE, name);
     output.output().unwrap().status
 }
 
-/// The process of the other tests; without a name it has nothing to do.
+/// Runs in the child process of the other tests; does nothing when no thread is named.
 #[test]
 fn panicking_process() {
-    let Ok(name) = std::env::var(ROLE) else {
+    let Ok(name) = std::env::var(THREAD_VARIABLE) else {
         return;
     };
-    panics::end_with(NEEDED);
+    panics::end_with(ESSENTIAL_THREAD);
     let thread = thread::Builder::new().name(name);
-    let ended = thread.spawn(|| panic!("a fault")).unwrap().join();
-    assert!(ended.is_err());
+    let result = thread.spawn(|| panic!("a fault")).unwrap().join();
+    assert!(result.is_err());
 }
 
-/// A router served on for minutes by its old configuration.
+/// Guards against a router that keeps serving with an outdated configuration after its control thread has panicked.
 #[test]
 fn needed_thread() {
-    assert!(!status_after(NEEDED).success());
+    assert!(!status_after(ESSENTIAL_THREAD).success());
 }
 
 #[test]
--- a/tests/evacuated_halls.rs
+++ b/tests/evacuated_halls.rs
@@ -1,4 +1,5 @@
-//! Halls that operators empty: nothing more is sent there, whoever knows of it, until they are taken back.
+//! Evacuated halls: no requests are sent there until the operators take the halls back, even by gateways that learn of
+//! it only from other routers.
 
 mod deployment;
 mod listed;
@@ -19,8 +20,8 @@
 use serde_json::json;
 
 const NOW: Millis = Millis(1_000_000);
-const PLENTY: u64 = 1_000_000;
-/// Users' bound from an operator's word to its effect, and what an unstable store adds to it.
+const LARGE_BUDGET: u64 = 1_000_000;
+/// The required time from an operator's order to its effect, plus the delay that an unstable store adds.
 const BOUND: Duration = Duration::from_millis(11_000);
 
 fn halls(names: &[&str]) -> BTreeSet<String> {
@@ -51,7 +52,7 @@
     targets.set_evacuated(NOW, &halls(&["east"]));
     assert_eq!(targets.candidates(NOW, "s", &[]), [TargetKey(2)]);
     assert!(!targets.is_evacuated("s"));
-    // One after the other: the first is taken back as the second is emptied.
+    // The first hall is taken back as the second is evacuated.
     targets.set_evacuated(NOW, &halls(&["west"]));
     assert_eq!(
         targets.candidates(NOW, "s", &[]),
@@ -62,12 +63,12 @@
     assert!(targets.is_evacuated("s"));
     assert!(
         !targets.is_evacuated("another"),
-        "without targets it is not the operators"
+        "a service without targets is not evacuated"
     );
 }
 
 #[test]
-fn later_view_holds() {
+fn later_view_wins() {
     let mut view = View::default();
     view.set("east", Order::Evacuate);
     view.set("west", Order::Evacuate);
@@ -80,15 +81,18 @@
     };
     assert!(earlier.is_older(&view));
     assert!(!view.is_older(&earlier));
-    assert!(!view.is_older(&view), "the same offset tells the same");
+    assert!(!view.is_older(&view), "views of the same offset are equal");
     let restored = View {
         as_of: place(2, 3),
         halls: halls(&["east"]),
     };
-    assert!(view.is_older(&restored), "of a later history of the store");
+    assert!(
+        view.is_older(&restored),
+        "a later era of the store wins over a larger offset"
+    );
 }
 
-/// Lists a runner of the plain service in a hall.
+/// Lists a runner of the service `app` in a hall.
 fn list_in_hall(store: &Store, runner: &Runner, hall: &str) {
     let entry = json!({
         "service": "app", "address": runner.address, "zone": hall, "version": "v1",
@@ -97,10 +101,10 @@
     store.put("keyed.servers", &runner.instance(), Some(&entry));
 }
 
-/// Two runners, in the halls east and west, and gateways that know both.
+/// Starts two runners, in the halls east and west, and gateways that know both.
 async fn start(gateways: usize) -> (Deployment, Runner, Runner) {
     let (east, west) = (Runner::start("i-east").await, Runner::start("i-west").await);
-    let deployment = Deployment::start(gateways, &config(1, PLENTY), &[]).await;
+    let deployment = Deployment::start(gateways, &config(1, LARGE_BUDGET), &[]).await;
     list_in_hall(&deployment.store, &east, "east");
     list_in_hall(&deployment.store, &west, "west");
     deployment.wait_acquainted().await;
@@ -115,8 +119,8 @@
     status_of(front, "/often/x").await
 }
 
-/// Asks a gateway until twenty requests in a row do not reach a runner; how many of the last were served.
-async fn until_left_alone(front: SocketAddr, runner: &Runner) -> usize {
+/// Sends requests to a gateway until twenty in a row do not reach a runner. Returns how many of those were served.
+async fn until_not_reached(front: SocketAddr, runner: &Runner) -> usize {
     let begun = tokio::time::Instant::now();
     loop {
         let before = runner.arrivals().len();
@@ -127,7 +131,7 @@
         if runner.arrivals().len() == before {
             return served;
         }
-        assert!(begun.elapsed() < BOUND, "the hall is still sent to");
+        assert!(begun.elapsed() < BOUND, "requests still reach the hall");
     }
 }
 
@@ -138,18 +142,18 @@
     store.put("keyed.op", "evacuate/east", Some(&json!({})));
     for gateway in &deployment.gateways {
         assert_eq!(
-            until_left_alone(gateway.front, &east).await,
+            until_not_reached(gateway.front, &east).await,
             20,
-            "no caller notices"
+            "every request is served elsewhere"
         );
     }
-    // A configuration, compacted history and an outage of the store change nothing of it.
-    store.put("keyed.op", "config", Some(&config(2, PLENTY)));
+    // The evacuation survives a new configuration, a compaction and an outage of the store.
+    store.put("keyed.op", "config", Some(&config(2, LARGE_BUDGET)));
     store.compact("keyed.op");
     let front = deployment.gateways[0].front;
-    assert_eq!(until_left_alone(front, &east).await, 20);
+    assert_eq!(until_not_reached(front, &east).await, 20);
     store.set_fault(deployment.gateways[0].store, Fault::Unavailable);
-    assert_eq!(until_left_alone(front, &east).await, 20);
+    assert_eq!(until_not_reached(front, &east).await, 20);
     store.set_fault(deployment.gateways[0].store, Fault::None);
     store.put("keyed.op", "evacuate/east", None);
     for gateway in &deployment.gateways {
@@ -157,16 +161,17 @@
     }
 }
 
-/// A router that the store does not answer hears of it from others, whether it ran before or starts then.
+/// A router that the store does not answer learns of an evacuation from other routers, both while it runs and when it
+/// starts during the outage.
 #[tokio::test(flavor = "multi_thread")]
-async fn told_by_peers() {
+async fn evacuation_learned_from_peers() {
     for fault in [Fault::Unavailable, Fault::Silent, Fault::Limited] {
         let (mut deployment, east, _west) = start(3).await;
         let cut = &deployment.gateways[0];
         deployment.store.set_fault(cut.store, fault);
         let store = &deployment.store;
         store.put("keyed.op", "evacuate/east", Some(&json!({})));
-        assert_eq!(until_left_alone(cut.front, &east).await, 20);
+        assert_eq!(until_not_reached(cut.front, &east).await, 20);
         let restarted = &mut deployment.gateways[0];
         restarted.kill();
         restarted.start_again();
@@ -176,20 +181,24 @@
         for _ in 0..20 {
             status(front).await;
         }
-        assert_eq!(east.arrivals().len(), before, "not even at its start");
+        assert_eq!(
+            east.arrivals().len(),
+            before,
+            "a restarted router sends nothing there either"
+        );
     }
 }
 
-/// The record is the word, whatever another writer left in it; one whose key names no hall is none.
+/// A record evacuates its hall whatever its value; a record whose key names no hall is ignored.
 #[tokio::test(flavor = "multi_thread")]
-async fn spoilt_records() {
+async fn malformed_records() {
     let (deployment, east, west) = start(1).await;
     let (store, front) = (&deployment.store, deployment.gateways[0].front);
     store.put_bytes("keyed.op", b"evacuate/", b"{}");
     store.put_bytes("keyed.op", b"evacuate", b"{}");
     store.put_bytes("keyed.op", b"\xff\xfe", b"{}");
     store.put_bytes("keyed.op", b"evacuate/east", b"\xff not json");
-    assert_eq!(until_left_alone(front, &east).await, 20);
+    assert_eq!(until_not_reached(front, &east).await, 20);
     until_reached(front, &west).await;
 }
 
@@ -199,13 +208,13 @@
     let (store, front) = (&deployment.store, deployment.gateways[0].front);
     store.put("keyed.op", "evacuate/east", Some(&json!({})));
     store.put("keyed.op", "evacuate/west", Some(&json!({})));
-    until_left_alone(front, &east).await;
-    until_left_alone(front, &west).await;
+    until_not_reached(front, &east).await;
+    until_not_reached(front, &west).await;
     let answer = ask(front, &Ask::new("last", "/often/x")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.body.contains("halls_evacuated"), "{}", answer.body);
     let wait: f64 = answer.header("retry-after").parse().unwrap();
-    assert!(wait >= 1.0, "it takes the operators a while");
+    assert!(wait >= 1.0, "operators need some time to take a hall back");
     store.put("keyed.op", "evacuate/west", None);
     until_reached(front, &west).await;
 }
--- a/tests/fleet_clock.rs
+++ b/tests/fleet_clock.rs
@@ -1,4 +1,5 @@
-//! The time of day that hosts agree on: from how many, how nearly, and for how long.
+//! The time of day that hosts agree on: how many hosts it takes, how close their times must be, and how long the result
+//! is valid.
 
 use lanedeck::boot_clock::Reading;
 use lanedeck::gateway::clock::{Clock, Readings};
@@ -8,28 +9,28 @@
 const WALL: u64 = 1_800_000_000_000;
 const BOOT: u64 = 7;
 
-fn told(wall: u64) -> Readings {
+fn wall_reading(wall: u64) -> Readings {
     Readings {
         boot: None,
         wall: Some(Millis(wall)),
     }
 }
 
-/// A clock that these hosts have told the same time of day.
-fn told_by(hosts: &[&str]) -> Clock {
+/// A clock that has received the same time of day from each of these hosts.
+fn clock_read_from(hosts: &[&str]) -> Clock {
     let mut clock = Clock::new(None);
     for host in hosts {
-        clock.note(host, NOW, &told(WALL));
+        clock.note(host, NOW, &wall_reading(WALL));
     }
     clock
 }
 
-/// What is agreed on where hosts are so many milliseconds off.
-fn agreed(off: &[i64]) -> Option<u64> {
+/// The time of day agreed on by hosts whose clocks are off by these numbers of milliseconds.
+fn agreed(errors: &[i64]) -> Option<u64> {
     let mut clock = Clock::new(None);
-    for (number, off) in off.iter().enumerate() {
-        let wall = WALL.saturating_add_signed(*off);
-        clock.note(&format!("h{number}"), NOW, &told(wall));
+    for (number, error) in errors.iter().enumerate() {
+        let wall = WALL.saturating_add_signed(*error);
+        clock.note(&format!("h{number}"), NOW, &wall_reading(wall));
     }
     let offset = clock.agreed(NOW)?;
     Some(offset.wall(NOW).0)
@@ -37,23 +38,32 @@
 
 #[test]
 fn most_agree() {
-    assert_eq!(agreed(&[0, 0]), None, "two say nothing of who is right");
+    assert_eq!(
+        agreed(&[0, 0]),
+        None,
+        "two hosts do not show which one is right"
+    );
     assert_eq!(agreed(&[0, 20, -30]), Some(WALL));
-    assert_eq!(agreed(&[0, 0, 2_000]), None, "two of three");
+    assert_eq!(agreed(&[0, 0, 2_000]), None, "two of three is too few");
     assert_eq!(agreed(&[0, 0, 0, 2_000]), Some(WALL));
     assert_eq!(agreed(&[-9_000, 0, 0, 0]), Some(WALL));
-    assert_eq!(agreed(&[0, 0, 0, 2_000, 2_000]), None, "three of five");
-    assert_eq!(agreed(&[0, 400, 800]), None, "none is near another");
+    assert_eq!(
+        agreed(&[0, 0, 0, 2_000, 2_000]),
+        None,
+        "three of five is too few"
+    );
+    assert_eq!(agreed(&[0, 400, 800]), None, "no two are close enough");
 }
 
-/// Few of a large fleet may all be wrong; of a small one most are needed, and not those that are down.
+/// A large fleet needs a fixed number of hosts, since a few may all be wrong; a small fleet needs most of its hosts,
+/// but not those that are down.
 #[test]
 fn enough_hosts() {
     let agreed = |fleet, hosts: usize| {
         let mut clock = Clock::new(None);
         clock.set_fleet(fleet);
         for number in 0..hosts {
-            clock.note(&format!("h{number}"), NOW, &told(WALL));
+            clock.note(&format!("h{number}"), NOW, &wall_reading(WALL));
         }
         assert_eq!(clock.offset(NOW), clock.agreed(NOW));
         clock.agreed(NOW).is_some()
@@ -66,23 +76,23 @@
 }
 
 #[test]
-fn old_news() {
-    let clock = told_by(&["h1", "h2", "h3"]);
+fn expired_readings() {
+    let clock = clock_read_from(&["h1", "h2", "h3"]);
     let later = NOW + Millis(5_000);
     let offset = clock.agreed(later).unwrap();
     assert_eq!(offset.wall(later).0, WALL + 5_000);
     assert_eq!(clock.agreed(NOW + Millis(8_000)), None);
 }
 
-/// A router that hears of nobody any more, or of hosts that differ, knows what they agreed on by its steady clock.
+/// A router that gets no more readings, or readings that differ, continues the last agreed time by its steady clock.
 #[test]
 fn last_agreement() {
-    let mut clock = told_by(&["h1", "h2", "h3"]);
+    let mut clock = clock_read_from(&["h1", "h2", "h3"]);
     let later = NOW + Millis(59_000);
     assert_eq!(clock.offset(later).unwrap().wall(later).0, WALL + 59_000);
     assert_eq!(clock.offset(NOW + Millis(60_000)), None);
     for host in ["h1", "h2"] {
-        clock.note(host, NOW, &told(WALL + 9_000));
+        clock.note(host, NOW, &wall_reading(WALL + 9_000));
     }
     assert_eq!(clock.agreed(NOW), None);
     assert_eq!(clock.offset(NOW).unwrap().wall(NOW).0, WALL);
@@ -90,17 +100,17 @@
     assert_eq!(
         clock.offset(NOW),
         None,
-        "three are too few of a larger fleet"
+        "three hosts are too few for a larger fleet"
     );
 }
 
-/// A host whose time of day is set counts with what it told last.
+/// Only a host's last reading counts, also after its time of day was set.
 #[test]
-fn told_again() {
-    let mut clock = told_by(&["h1", "h2", "h3", "h4"]);
-    clock.note("h1", NOW, &told(WALL + 5_000));
+fn newest_reading_counts() {
+    let mut clock = clock_read_from(&["h1", "h2", "h3", "h4"]);
+    clock.note("h1", NOW, &wall_reading(WALL + 5_000));
     assert_eq!(clock.offset(NOW).unwrap().wall(NOW).0, WALL);
-    clock.note("h2", NOW, &told(WALL + 9_000));
+    clock.note("h2", NOW, &wall_reading(WALL + 9_000));
     assert_eq!(clock.agreed(NOW), None);
 }
 
--- a/tests/foreign_entries.rs
+++ b/tests/foreign_entries.rs
@@ -1,4 +1,5 @@
-//! Entries in the list of targets that another writer left: they name no target to use, and the others hold.
+//! Malformed entries in the list of targets, as left by other writers: they are not used, and the other entries stay in
+//! force.
 
 mod deployment;
 #[allow(dead_code, unused_imports)]
@@ -30,48 +31,51 @@
 fn whole_entry() {
     let listing = read(&entry("127.0.0.1:1")).unwrap();
     assert_eq!(listing.instance, "i-1@1790000000000");
-    let mut untold = entry("127.0.0.1:1");
-    untold.as_object_mut().unwrap().remove("born");
+    let mut without_start = entry("127.0.0.1:1");
+    without_start.as_object_mut().unwrap().remove("born");
     assert_eq!(
-        read(&untold).unwrap().instance,
+        read(&without_start).unwrap().instance,
         "i-1",
-        "its start may be untold"
+        "the time of the start is optional"
     );
 }
 
 #[test]
 fn causes() {
-    let spoil = |field: &str, value: Value| {
-        let mut spoilt = entry("127.0.0.1:1");
-        spoilt[field] = value;
-        read(&spoilt).unwrap_err()
+    let error_with = |field: &str, value: Value| {
+        let mut malformed = entry("127.0.0.1:1");
+        malformed[field] = value;
+        read(&malformed).unwrap_err()
     };
     assert!(matches!(
-        spoil("state", json!("starting")),
+        error_with("state", json!("starting")),
         BadEntry::State { .. }
     ));
     assert!(matches!(
-        spoil("state", json!(1)),
+        error_with("state", json!(1)),
         BadEntry::Type { field: "state", .. }
     ));
-    assert!(matches!(spoil("service", json!("")), BadEntry::Service));
     assert!(matches!(
-        spoil("slots", json!(0)),
+        error_with("service", json!("")),
+        BadEntry::Service
+    ));
+    assert!(matches!(
+        error_with("slots", json!(0)),
         BadEntry::Type { field: "slots", .. }
     ));
     assert!(matches!(
-        spoil("sequence", json!("4")),
+        error_with("sequence", json!("4")),
         BadEntry::Type {
             field: "sequence",
             ..
         }
     ));
     assert!(matches!(
-        spoil("born", json!(1.5)),
+        error_with("born", json!(1.5)),
         BadEntry::Type { field: "born", .. }
     ));
     assert!(matches!(
-        spoil("born", json!("then")),
+        error_with("born", json!("then")),
         BadEntry::Type { field: "born", .. }
     ));
     let unreadable = Platform.read_listing("i-1", b"\xff{").unwrap_err();
@@ -92,9 +96,9 @@
     });
 }
 
-/// Whichever one field is missing, or of another type, the entry is not used.
+/// An entry is not used if any one of its fields is missing or has another type.
 #[test]
-fn any_spoilt_field() {
+fn any_malformed_field() {
     let values = [
         json!(null),
         json!([]),
@@ -104,42 +108,42 @@
         json!(""),
     ];
     arbtest(|u| {
-        let mut spoilt = entry("127.0.0.1:1");
-        let fields: Vec<String> = spoilt.as_object().unwrap().keys().cloned().collect();
+        let mut malformed = entry("127.0.0.1:1");
+        let fields: Vec<String> = malformed.as_object().unwrap().keys().cloned().collect();
         let field = u.choose(&fields)?;
         let value = u.choose(&values)?;
-        // Of these, a text may be anything, and a number of milliseconds below zero is one.
+        // Text fields accept any string, and a negative number of milliseconds is a number.
         let is_allowed = match field.as_str() {
             "version" | "zone" => value.is_string(),
             "coldLeftMs" => value.is_number(),
             _ => false,
         };
         if u.arbitrary()? && field != "born" {
-            spoilt.as_object_mut().unwrap().remove(field);
-            assert!(read(&spoilt).is_err(), "without {field}");
+            malformed.as_object_mut().unwrap().remove(field);
+            assert!(read(&malformed).is_err(), "without {field}");
         } else {
-            spoilt[field.as_str()] = value.clone();
-            assert_eq!(read(&spoilt).is_ok(), is_allowed, "{field} = {value}");
+            malformed[field.as_str()] = value.clone();
+            assert_eq!(read(&malformed).is_ok(), is_allowed, "{field} = {value}");
         }
         Ok(())
     });
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn others_hold() {
+async fn other_targets_stay_in_use() {
     let (good, bad) = (Runner::start("i-good").await, Runner::start("i-bad").await);
     let runners = [("app", &good), ("app", &bad)];
     let deployment = Deployment::start(1, &config(1, 1_000_000), &runners).await;
     let front = deployment.gateways[0].front;
     let address = bad.address.to_string();
-    let spoilt = [
+    let malformed = [
         ("state", json!("starting")),
         ("slots", json!(null)),
         ("sequence", json!("one")),
         ("born", json!("then")),
     ];
     let mut number = 0;
-    for (field, value) in spoilt {
+    for (field, value) in malformed {
         let mut entry = entry(&address);
         entry[field] = value;
         deployment.store.put("keyed.servers", "i-bad", Some(&entry));
@@ -149,13 +153,13 @@
         deployment
             .store
             .put_bytes("keyed.servers", b"\xff\xfe", b"\x00");
-        // Forty in a row that go to the good one: by chance once in 10^12.
+        // Forty requests in a row that all reach the good target: by chance once in 10^12.
         let end = Instant::now() + LONG;
         let mut in_a_row = 0;
         while in_a_row < 40 {
             assert!(
                 Instant::now() < end,
-                "{field}: it gets requests all the time"
+                "{field}: the target still gets requests"
             );
             number += 1;
             let before = bad.runs();
@@ -167,11 +171,14 @@
                 0
             };
         }
-        // Its next heartbeat brings it back.
+        // The target's next heartbeat restores its entry.
         list(&deployment.store, "app", &bad, "ready");
         let before = bad.runs();
         while bad.runs() == before {
-            assert!(Instant::now() < end, "{field}: it gets none any more");
+            assert!(
+                Instant::now() < end,
+                "{field}: the target gets no requests any more"
+            );
             number += 1;
             ask(front, &Ask::new(&format!("r{number}"), "/often/x")).await;
         }
--- a/tests/gateway_store.rs
+++ b/tests/gateway_store.rs
@@ -1,4 +1,4 @@
-//! Gateways whose store misbehaves: configuration, keys, targets and prepaid budgets.
+//! Gateways with a faulty store: configuration, keys, targets and prepaid budgets.
 
 mod deployment;
 
@@ -9,12 +9,12 @@
 };
 use serde_json::{Value, json};
 
-const PLENTY: u64 = 1_000_000;
-/// What one stream costs.
-const EACH: u64 = 100 + EVENTS as u64;
+const LARGE_BUDGET: u64 = 1_000_000;
+/// Tokens that one stream costs.
+const STREAM_COST: u64 = 100 + EVENTS as u64;
 
 fn without_key(version: u64) -> Value {
-    config_without_key(version, PLENTY)
+    config_without_key(version, LARGE_BUDGET)
 }
 
 async fn status(front: std::net::SocketAddr, id: &str, path: &str) -> u16 {
@@ -24,25 +24,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn newer_configuration() {
     let app = Runner::start("i-app").await;
-    let deployment = Deployment::start(1, &config(5, PLENTY), &[("app", &app)]).await;
+    let deployment = Deployment::start(1, &config(5, LARGE_BUDGET), &[("app", &app)]).await;
     let front = deployment.gateways[0].front;
     assert_eq!(status(front, "a", "/often/x").await, 200);
     deployment
         .store
         .put("keyed.op", "config", Some(&without_key(9)));
     until(|| async { status(front, "b", "/often/x").await == 401 }).await;
-    // An older version, however late it comes, changes nothing.
+    // An older version that arrives later changes nothing.
     deployment
         .store
-        .put("keyed.op", "config", Some(&config(7, PLENTY)));
+        .put("keyed.op", "config", Some(&config(7, LARGE_BUDGET)));
     deployment
         .store
-        .put("keyed.op", "config", Some(&config(8, PLENTY)));
+        .put("keyed.op", "config", Some(&config(8, LARGE_BUDGET)));
     for number in 0..20 {
         assert_eq!(status(front, &format!("c{number}"), "/often/x").await, 401);
         tokio::time::sleep(std::time::Duration::from_millis(20)).await;
     }
-    // A broken one is passed over, and the next is taken.
+    // A malformed configuration is ignored, and the next valid one is applied.
     deployment.store.put(
         "keyed.op",
         "config",
@@ -50,14 +50,14 @@
     );
     deployment
         .store
-        .put("keyed.op", "config", Some(&config(11, PLENTY)));
+        .put("keyed.op", "config", Some(&config(11, LARGE_BUDGET)));
     until(|| async { status(front, "d", "/often/x").await == 200 }).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn history_dropped() {
     let app = Runner::start("i-app").await;
-    let deployment = Deployment::start(1, &config(1, PLENTY), &[("app", &app)]).await;
+    let deployment = Deployment::start(1, &config(1, LARGE_BUDGET), &[("app", &app)]).await;
     let front = deployment.gateways[0].front;
     assert_eq!(status(front, "a", "/often/x").await, 200);
     deployment
@@ -69,10 +69,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn key_taken_through_peer() {
+async fn key_removed_through_peer() {
     for fault in [Fault::Unavailable, Fault::Limited, Fault::Silent] {
         let app = Runner::start("i-app").await;
-        let deployment = Deployment::start(3, &config(1, PLENTY), &[("app", &app)]).await;
+        let deployment = Deployment::start(3, &config(1, LARGE_BUDGET), &[("app", &app)]).await;
         deployment.wait_acquainted().await;
         let cut = &deployment.gateways[0];
         deployment.store.set_fault(cut.store, fault);
@@ -87,7 +87,7 @@
 async fn targets_through_peer() {
     let first = Runner::start("i-1").await;
     let second = Runner::start("i-2").await;
-    let deployment = Deployment::start(2, &config(1, PLENTY), &[("app", &first)]).await;
+    let deployment = Deployment::start(2, &config(1, LARGE_BUDGET), &[("app", &first)]).await;
     deployment.wait_acquainted().await;
     let cut = &deployment.gateways[0];
     deployment.store.set_fault(cut.store, Fault::Silent);
@@ -103,11 +103,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn loan_when_cut_off() {
     let engine = Runner::start("i-e").await;
-    let deployment = Deployment::start(2, &config(1, PLENTY), &[("engine", &engine)]).await;
+    let deployment = Deployment::start(2, &config(1, LARGE_BUDGET), &[("engine", &engine)]).await;
     deployment.wait_acquainted().await;
     let cut = &deployment.gateways[0];
     deployment.store.set_fault(cut.store, Fault::Unavailable);
-    // More than a router holds ahead of any demand.
+    // The request costs more than a router is granted without demand, so it needs a loan.
     until(|| async {
         let request = Ask::talk("s", "/talk/x", 200_000, 50);
         ask(cut.front, &request).await.status == 200
@@ -119,14 +119,14 @@
 async fn slow_store() {
     let engine = Runner::start("i-e").await;
     let runners = [("engine", &engine)];
-    let mut deployment = Deployment::start(0, &config(1, PLENTY), &runners).await;
+    let mut deployment = Deployment::start(0, &config(1, LARGE_BUDGET), &runners).await;
     deployment.add("g0", &[]).await;
     let gateway = &deployment.gateways[0];
     deployment
         .store
         .set_fault(gateway.store, Fault::Slow(1_500));
     deployment.wait_ready().await;
-    // What is waited for longer in vain is given up, but the next try waits longer still.
+    // A call that times out is abandoned, but the next one has a longer timeout.
     until(|| async {
         let request = Ask::talk("s", "/talk/x", 100, 50);
         ask(gateway.front, &request).await.status == 200
@@ -134,7 +134,7 @@
     .await;
 }
 
-/// Asks until nothing is served for a while, and returns how many were.
+/// Sends `tries` requests to the gateways in turn, and returns how many were served.
 async fn spend(deployment: &Deployment, prefix: &str, tries: usize) -> u64 {
     let mut served = 0;
     for number in 0..tries {
@@ -169,7 +169,7 @@
         }
         served += spend(&deployment, "c", 60).await;
         assert_eq!(served, engine.runs() as u64);
-        assert!(served * EACH <= PREPAID, "{fault:?}: {served}");
+        assert!(served * STREAM_COST <= PREPAID, "{fault:?}: {served}");
         assert!(served > 0);
     }
 }
@@ -185,9 +185,9 @@
         let slow = Ask::talk(&format!("slow{round}"), "/talk/x", 100, 50);
         engine.set(Mode::Slow(50));
         let front = deployment.gateways[0].front;
-        let asked = tokio::spawn(async move { try_ask(front, &slow).await });
+        let pending = tokio::spawn(async move { try_ask(front, &slow).await });
         let before = engine.runs();
-        until(|| async { engine.runs() > before || asked.is_finished() }).await;
+        until(|| async { engine.runs() > before || pending.is_finished() }).await;
         let names: Vec<String> = deployment.gateways.iter().map(|g| g.name.clone()).collect();
         deployment.gateways.clear();
         engine.set(Mode::Well);
@@ -198,10 +198,10 @@
     }
     let after = spend(&deployment, "end", 90).await;
     assert!(
-        engine.runs() as u64 * EACH <= PREPAID,
-        "spent more than was prepaid"
+        engine.runs() as u64 * STREAM_COST <= PREPAID,
+        "more was spent than was prepaid"
     );
-    assert!(after > 0, "what was not granted can still be spent");
+    assert!(after > 0, "tokens that were not granted can still be spent");
 }
 
 async fn stream(front: std::net::SocketAddr, id: &str, key: &str) -> u16 {
@@ -209,15 +209,17 @@
     ask(front, &request).await.status
 }
 
-/// A row that this program cannot read may stand for any part of the budget.
+/// A row that this version cannot decode may grant any part of the budget, so nothing is granted beside it.
 #[tokio::test(flavor = "multi_thread")]
 async fn unreadable_row() {
     let engine = Runner::start("i-e").await;
     let runners = [("engine", &engine)];
-    let mut deployment = Deployment::start(0, &config(1, PLENTY), &runners).await;
+    let mut deployment = Deployment::start(0, &config(1, LARGE_BUDGET), &runners).await;
     let row = format!("{CUSTOMER}/g9");
-    let strange = json!("the row of a later program");
-    deployment.store.put("keyed.prepaid", &row, Some(&strange));
+    let undecodable = json!("the row of a later program");
+    deployment
+        .store
+        .put("keyed.prepaid", &row, Some(&undecodable));
     deployment.add("g0", &["--partitions", "1"]).await;
     deployment.wait_ready().await;
     let front = deployment.gateways[0].front;
@@ -226,22 +228,24 @@
         assert_eq!(
             stream(front, &id, KEY).await,
             503,
-            "nothing is known to be free"
+            "no part of the budget is known to be free"
         );
     }
     assert_eq!(engine.runs(), 0);
     deployment.store.put("keyed.prepaid", &row, None);
     until(|| async { stream(front, "b", KEY).await == 200 }).await;
 }
-/// The store's keys have a longest length, and a customer's name is part of one.
+
+/// The store limits the length of keys. A customer whose name makes its rows' keys too long is refused; others are
+/// served.
 #[tokio::test(flavor = "multi_thread")]
 async fn long_customer_name() {
     let engine = Runner::start("i-e").await;
     let runners = [("engine", &engine)];
-    let mut config = config(1, PLENTY);
+    let mut config = config(1, LARGE_BUDGET);
     config["tenants"] = json!([
-        { "name": "a".repeat(300), "apiKeys": ["long"], "prepaid": PLENTY },
-        { "name": CUSTOMER, "apiKeys": [KEY], "prepaid": PLENTY },
+        { "name": "a".repeat(300), "apiKeys": ["long"], "prepaid": LARGE_BUDGET },
+        { "name": CUSTOMER, "apiKeys": [KEY], "prepaid": LARGE_BUDGET },
     ]);
     let flags = ["--partitions", "1"];
     let deployment = Deployment::start_with(1, &config, &runners, &flags).await;
@@ -252,7 +256,7 @@
         assert_eq!(
             stream(front, &id, "long").await,
             503,
-            "its rows cannot be written"
+            "the customer's rows cannot be written"
         );
     }
     assert_eq!(stream(front, "c", KEY).await, 200);
--- a/tests/lapsed_entries.rs
+++ b/tests/lapsed_entries.rs
@@ -1,4 +1,4 @@
-//! Targets whose entries lapse while the store is away: they could not renew them either.
+//! Targets whose entries expire during an outage of the store, in which they cannot renew them.
 
 mod deployment;
 
@@ -6,12 +6,12 @@
 use deployment::store::Fault;
 use deployment::{Ask, Deployment, ask, config, list, until};
 
-const PLENTY: u64 = 1_000_000;
+const LARGE_BUDGET: u64 = 1_000_000;
 const TARGETS: &str = "keyed.servers";
 
-/// A gateway in front of one target whose entry lapsed in an outage of the store that has just ended.
+/// Starts a gateway with one target whose entry expired in an outage of the store that has just ended.
 async fn after_an_outage(app: &Runner) -> Deployment {
-    let deployment = Deployment::start(1, &config(1, PLENTY), &[("app", app)]).await;
+    let deployment = Deployment::start(1, &config(1, LARGE_BUDGET), &[("app", app)]).await;
     let store = deployment.gateways[0].store;
     deployment.store.set_fault(store, Fault::Unavailable);
     until(|| async { deployment.store.has_turned_away(store, TARGETS) }).await;
@@ -26,10 +26,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn back_in_time() {
+async fn relisted_in_time() {
     let app = Runner::start("i-app").await;
     let deployment = after_an_outage(&app).await;
-    // After the next read of the list it still counts; then it is back, and stays.
+    // The target stays in use after the next read of the list; then it is listed again, and stays in use.
     for number in 0..6 {
         assert_eq!(status(&deployment, &format!("missing{number}")).await, 200);
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
@@ -50,5 +50,5 @@
     for number in 0..5 {
         assert_eq!(status(&deployment, &format!("gone{number}")).await, 503);
     }
-    assert_eq!(app.runs(), runs, "nothing goes to it any more");
+    assert_eq!(app.runs(), runs, "the target gets no further requests");
 }
--- a/tests/link_shortage.rs
+++ b/tests/link_shortage.rs
@@ -1,4 +1,4 @@
-//! A gateway's link through a lack of descriptors.
+//! A gateway's link after a shortage of file descriptors.
 
 mod deployment;
 
@@ -11,24 +11,23 @@
 use lanedeck::wire::{self, Missing};
 use tokio::net::TcpStream;
 
-const PLENTY: u64 = 1_000_000;
+const LARGE_BUDGET: u64 = 1_000_000;
 
-/// Sets how many files a process may have open.
+/// Limits how many files a process may have open.
 fn limit_files(process: u32, count: usize) {
     let mut command = Command::new("prlimit");
     command.args(["--pid", &process.to_string(), &format!("--nofile={count}:")]);
     assert!(command.status().unwrap().success());
 }
 
-/// Other routers see a router that refuses their connections for the rest of its life, while callers are served.
-/// The order of events: the process has no descriptor left for a moment; the link's accept fails; the link's
-/// listener is dropped; descriptors are free again. The cause: `wire::serve` ends at the first error of an
-/// accept, where `net::Server` pauses and goes on. As its task has ended, a stop has nothing to wait for at the
-/// link, and questions in hand end with the process.
+/// Guards against a link whose listener is dropped at the first failed accept, when the process is out of file
+/// descriptors for a moment. `wire::serve` has to pause and go on, as `net::Server` does. Otherwise other routers are
+/// refused until the process ends while callers are still served, and a stop does not wait for pending requests on the
+/// link, which are lost with the process.
 #[tokio::test(flavor = "multi_thread")]
 async fn link_after_shortage() {
     const FREE: usize = 8;
-    let mut deployment = Deployment::start_with(1, &config(1, PLENTY), &[], &[]).await;
+    let mut deployment = Deployment::start_with(1, &config(1, LARGE_BUDGET), &[], &[]).await;
     let gateway = deployment.gateways.remove(0);
     let folder = format!("/proc/{}/fd", gateway.id());
     let open = || std::fs::read_dir(&folder).unwrap().count();
@@ -38,7 +37,7 @@
     for _ in 0..4 * FREE {
         held.extend(TcpStream::connect(gateway.link).await);
     }
-    // All that may be open is, so the next accept fails.
+    // All descriptors are in use, so the next accept fails.
     tokio::time::sleep(Duration::from_millis(300)).await;
     drop(held);
     limit_files(gateway.id(), 10 * (before + FREE));
--- a/tests/member_view.rs
+++ b/tests/member_view.rs
@@ -1,4 +1,4 @@
-//! Which routers count as live while the store is not read, and after that; who holds a customer's grants then.
+//! Which routers count as live, and which hold a customer's grants, while the store cannot be read and afterwards.
 
 mod fleet;
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// One of a large fleet that has just read all entries.
+/// The members as seen by a router of a large fleet that has just read all entries.
 fn large_fleet() -> Members {
     let mut members = Members::new(router(0, 1), INTERVAL);
     members.me.is_ready = true;
@@ -33,8 +33,8 @@
     holders.iter().map(|router| router.name.clone()).collect()
 }
 
-/// Cut off from the store for nine seconds, a router hears twenty others a second by links: who holds a customer's
-/// grants does not change. By their silence alone 5 of 8 were others at the end.
+/// A router that is cut off from the store for nine seconds hears twenty others per second over links. The holders of a
+/// customer's grants must not change; judged by their silence alone, 5 of 8 would have changed by the end.
 #[test]
 fn same_holders_in_a_cut() {
     let mut members = large_fleet();
@@ -52,7 +52,7 @@
     assert_eq!(members.live(end).count(), usize::from(FLEET) - 1);
 }
 
-/// A router whose link does not answer is not live, whether the store is read or not.
+/// A router whose link does not answer is not live, whether or not the store can be read.
 #[test]
 fn unreachable_in_a_cut() {
     let mut members = large_fleet();
@@ -62,7 +62,7 @@
     assert!(!holders(&members, START).contains(&gone));
 }
 
-/// After the cut, entries that stay away are missed from then on.
+/// Once the store is read again, a router counts as dead if its entry is not renewed from then on.
 #[test]
 fn missed_after_a_cut() {
     let mut members = large_fleet();
--- a/tests/slow_reload.rs
+++ b/tests/slow_reload.rs
@@ -1,8 +1,7 @@
-//! A reload whose settings file is slow to read.
+//! A reload whose settings file is slow to read, for example on a slow disk.
 //!
-//! Callers of a gateway got no answer, and its platform could not stop it, for as long as a settings file on a
-//! slow disk was read. The order of events: SIGHUP; the file is opened and read on the thread of the traffic;
-//! requests and SIGTERM wait behind it. The evidence: with a pipe in the file's place neither came through.
+//! Guards against reading the file on the traffic thread after a SIGHUP: requests and SIGTERM would wait until the read
+//! ends. A pipe in the place of the file blocks the read.
 
 mod deployment;
 
@@ -19,7 +18,7 @@
     assert!(sent.unwrap().success());
 }
 
-/// Puts a pipe in a file's place, so that whoever reads it waits.
+/// Replaces a file by a pipe, so that reading it blocks.
 fn block(path: &Path) {
     fs::remove_file(path).unwrap();
     let made = Command::new("mkfifo").arg(path).status();
@@ -45,13 +44,13 @@
     block(&settings);
     signal(&process, "-HUP");
     signal(&process, "-HUP");
-    // Opens once the process has begun to read.
+    // The open succeeds once the process has begun to read.
     let blocked = settings.clone();
     let open = move || fs::OpenOptions::new().write(true).open(blocked);
     let writer = tokio::task::spawn_blocking(open).await.unwrap().unwrap();
-    let asked = tokio::time::timeout(deployment::LONG, is_up()).await;
+    let is_answered = tokio::time::timeout(deployment::LONG, is_up()).await;
     signal(&process, "-TERM");
-    let waited = tokio::time::timeout(
+    let stopped = tokio::time::timeout(
         deployment::LONG,
         until(|| {
             let ended = matches!(process.try_wait(), Ok(Some(_)));
@@ -59,11 +58,15 @@
         }),
     )
     .await;
-    if waited.is_err() {
+    if stopped.is_err() {
         process.kill().unwrap();
     }
     drop(writer);
     fs::remove_file(settings).unwrap();
-    assert_eq!(asked, Ok(true), "requests are answered meanwhile");
-    assert!(waited.is_ok(), "it stops meanwhile");
+    assert_eq!(
+        is_answered,
+        Ok(true),
+        "requests are answered during the read"
+    );
+    assert!(stopped.is_ok(), "the process stops during the read");
 }
