--- a/tests/control_panic.rs
+++ b/tests/control_panic.rs
@@ -32,7 +32,8 @@
     assert!(result.is_err());
 }
 
-/// Guards against a router that keeps serving with an outdated configuration after its control thread has panicked.
+/// Guards against a router that keeps serving for minutes with an outdated configuration after its control thread has
+/// panicked.
 #[test]
 fn needed_thread() {
     assert!(!status_after(ESSENTIAL_THREAD).success());
