--- a/src/gateway/decision/grant.rs
+++ b/src/gateway/decision/grant.rs
@@ -211,16 +211,16 @@
     /// Tokens that its earlier processes have spent, or may have.
     pub spent_before: Tokens,
     /// What the router promises of its spending, where it does.
-    pub promise: Option<Promise>,
+    pub commitment: Option<CommitmentSummary>,
 }
 
 /// What a row promises, as far as its renewal depends on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Promise {
+pub struct CommitmentSummary {
     /// When it was made.
     pub made: Millis,
     /// Tokens that the router may spend then.
-    pub mark: Tokens,
+    pub initial_limit: Tokens,
 }
 
 /// Whether a row differs enough from the one that was last written to be worth a call to the store.
@@ -237,10 +237,10 @@
 
 /// Whether the promise of a row is old, and keeps tokens from being lost that are worth a write.
 fn is_renewal_due(written: &Holding, row: &Holding, prepaid: Tokens) -> bool {
-    let Some((old, new)) = written.promise.zip(row.promise) else {
+    let Some((old, new)) = written.commitment.zip(row.commitment) else {
         return false;
     };
-    let kept = row.granted.saturating_sub(new.mark);
+    let kept = row.granted.saturating_sub(new.initial_limit);
     kept.0 > prepaid.0 / CHANGE_DIVISOR && new.made.saturating_sub(old.made) >= RENEWAL_AGE
 }
 
--- a/src/gateway/escrow/account.rs
+++ b/src/gateway/escrow/account.rs
@@ -4,11 +4,13 @@
 //! borrowed.
 
 use super::cap::{Cap, Caps, Seen};
-use super::guard::{self, Guard, Rise};
+use super::guard::{self, Commitment, Ramp};
 use super::holder::{Holder, Predecessor};
 use super::row::{Ledger, Loan, Row};
 use crate::boot_clock::Reading;
-use crate::gateway::decision::grant::{self, Holding, Need, Promise, Role, Sizing, Spending};
+use crate::gateway::decision::grant::{
+    self, CommitmentSummary, Holding, Need, Role, Sizing, Spending,
+};
 use crate::store::Era;
 use crate::units::{Millis, Tokens};
 
@@ -236,20 +238,20 @@
         let pace = grant::pace(&spending);
         let made = self.promise_made(now);
         let begin = made + pace.hold;
-        let rise = Rise {
+        let ramp = Ramp {
             begin,
             wall: clock.offset(now).map(|offset| offset.wall(begin)),
             rate: pace.rate,
         };
-        let guard = started.map(|started| Guard {
-            mark: (used + pace.burst)
-                .saturating_sub(rise.risen(now))
+        let commitment = started.map(|started| Commitment {
+            initial_limit: (used + pace.burst)
+                .saturating_sub(ramp.risen(now))
                 .min(granted),
             until: Reading {
                 boot: started.boot,
                 at: made + guard::SPAN,
             },
-            rise: Some(rise),
+            ramp: Some(ramp),
         });
         Row {
             incarnation,
@@ -261,7 +263,7 @@
                 // It is counted where it borrows.
                 Role::Borrower => 0,
             },
-            guard,
+            commitment,
             cap: self.caps.as_ref().map(|_| {
                 let reach = grant::reach(sizing, &spending);
                 self.cap(era, reach, prepaid)
@@ -307,8 +309,8 @@
     /// When the promise of a row was made that is written now. While an earlier row may be on its way it is not
     /// prolonged: writes are not answered, so what is granted may soon be needed.
     fn promise_made(&self, now: Millis) -> Millis {
-        let sent = self.sent.first().and_then(|row| row.guard);
-        sent.map_or(now, |guard| guard.made())
+        let sent = self.sent.first().and_then(|row| row.commitment);
+        sent.map_or(now, |commitment| commitment.made())
     }
 
     /// Tokens of the budget that are granted to no other router.
@@ -410,7 +412,7 @@
             granted: used,
             spent: used,
             demand: 0,
-            guard: None,
+            commitment: None,
             cap: self.caps.as_ref().map(|_| self.cap(era, reach, prepaid)),
         }
     }
@@ -421,9 +423,9 @@
         granted: row.granted,
         spent: row.spent,
         spent_before: row.spent_before,
-        promise: row.guard.map(|guard| Promise {
-            made: guard.made(),
-            mark: guard.mark,
+        commitment: row.commitment.map(|commitment| CommitmentSummary {
+            made: commitment.made(),
+            initial_limit: commitment.initial_limit,
         }),
     }
 }
--- a/src/gateway/escrow/guard.rs
+++ b/src/gateway/escrow/guard.rs
@@ -38,19 +38,19 @@
 
 /// A promise, as the store keeps it with its row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Guard {
+pub struct Commitment {
     /// Tokens of its grant that the router does not pass when the promise begins, in all.
-    pub mark: Tokens,
+    pub initial_limit: Tokens,
     /// The end of the promise, by the clock of the router's host.
     pub until: Reading,
     /// How the mark rises. It stands after the other fields, and promises of earlier programs end without it.
     #[serde(skip)]
-    pub rise: Option<Rise>,
+    pub ramp: Option<Ramp>,
 }
 
 /// How the mark of a promise rises.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rise {
+pub struct Ramp {
     /// When it begins to rise, by the clock of the router's host.
     pub begin: Millis,
     /// The same by the time of day that the fleet's hosts agree on, where they do.
@@ -68,7 +68,7 @@
     pub wall: Option<Millis>,
 }
 
-impl Rise {
+impl Ramp {
     /// Tokens by which the mark has risen at `at` of the router's clock.
     pub(super) fn risen(&self, at: Millis) -> Tokens {
         let since = at.saturating_sub(self.begin);
@@ -76,20 +76,20 @@
     }
 }
 
-impl Guard {
+impl Commitment {
     /// A promise that has ended before it was made: it bounds and proves nothing. Rows without a promise are encoded
     /// with it where more follows.
     pub(super) fn void() -> Self {
         Self {
-            mark: Tokens::ZERO,
+            initial_limit: Tokens::ZERO,
             until: Reading::default(),
-            rise: Some(Rise::default()),
+            ramp: Some(Ramp::default()),
         }
     }
 
     /// When the promise was made, by the clock of the router's host.
     pub fn made(&self) -> Millis {
-        let span = match self.rise {
+        let span = match self.ramp {
             Some(_) => SPAN,
             None => SPAN_WITHOUT_RATE,
         };
@@ -98,9 +98,9 @@
 
     /// The most that is spent by `at` of the router's clock; `None` after the promise.
     pub fn limit(&self, at: Millis) -> Option<Tokens> {
-        let risen = self.rise.map_or(Tokens::ZERO, |rise| rise.risen(at));
+        let risen = self.ramp.map_or(Tokens::ZERO, |ramp| ramp.risen(at));
         // What another program wrote may be of any size.
-        (at < self.until.at).then(|| Tokens(self.mark.0.saturating_add(risen.0)))
+        (at < self.until.at).then(|| Tokens(self.initial_limit.0.saturating_add(risen.0)))
     }
 
     /// The most that the router had spent when the next process on its host started; `None` where nothing proves
@@ -120,8 +120,8 @@
             }
             _ => None,
         };
-        let rise = self.rise.and_then(|rise| Some((rise.begin, rise.wall?)));
-        let Some((begin, wall)) = rise else {
+        let ramp = self.ramp.and_then(|ramp| Some((ramp.begin, ramp.wall?)));
+        let Some((begin, wall)) = ramp else {
             return by_boot.map(Millis);
         };
         let hold = begin.saturating_sub(self.made());
--- a/src/gateway/escrow/row.rs
+++ b/src/gateway/escrow/row.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::cap::Cap;
-use super::guard::{Guard, Rise, Start};
+use super::guard::{Commitment, Ramp, Start};
 use crate::store::Era;
 use crate::units::{Millis, Tokens};
 use crate::util;
@@ -36,7 +36,7 @@
     /// What the process promises while the store answers it. It stands after the other fields, and rows of
     /// earlier programs end without it.
     #[serde(skip)]
-    pub guard: Option<Guard>,
+    pub commitment: Option<Commitment>,
     /// What bounds it while the store may come back from a copy. It stands last, and rows of earlier programs end
     /// without it.
     #[serde(skip)]
@@ -47,16 +47,16 @@
     /// Encodes it for the store.
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = util::encode(self);
-        let void = self.cap.map(|_| Guard::void());
-        let Some(guard) = self.guard.or(void) else {
+        let void = self.cap.map(|_| Commitment::void());
+        let Some(commitment) = self.commitment.or(void) else {
             return bytes;
         };
-        bytes.extend(util::encode(&guard));
-        let void = self.cap.map(|_| Rise::default());
-        let Some(rise) = guard.rise.or(void) else {
+        bytes.extend(util::encode(&commitment));
+        let void = self.cap.map(|_| Ramp::default());
+        let Some(ramp) = commitment.ramp.or(void) else {
             return bytes;
         };
-        bytes.extend(util::encode(&rise));
+        bytes.extend(util::encode(&ramp));
         if let Some(cap) = &self.cap {
             bytes.extend(util::encode(cap));
         }
@@ -69,21 +69,21 @@
         if rest.is_empty() {
             return Some(row);
         }
-        let (mut guard, rest): (Guard, &[u8]) = util::decode_first(rest)?;
+        let (mut commitment, rest): (Commitment, &[u8]) = util::decode_first(rest)?;
         if !rest.is_empty() {
-            let (rise, rest) = util::decode_first(rest)?;
-            guard.rise = Some(rise);
+            let (ramp, rest) = util::decode_first(rest)?;
+            commitment.ramp = Some(ramp);
             if !rest.is_empty() {
                 row.cap = Some(util::decode(rest)?);
             }
         }
-        row.guard = (guard != Guard::void()).then_some(guard);
+        row.commitment = (commitment != Commitment::void()).then_some(commitment);
         Some(row)
     }
 
     /// Tokens that its process may spend in all by `at` of its host's clock.
     pub(super) fn limit(&self, at: Millis) -> Tokens {
-        self.at_most(self.guard.and_then(|guard| guard.limit(at)))
+        self.at_most(self.commitment.and_then(|commitment| commitment.limit(at)))
     }
 
     /// Tokens that its process held beyond those that it had spent.
@@ -108,7 +108,10 @@
 
     /// The most that its process may have spent, where that is gone and the next one on its host has started.
     pub fn spent_at_most(&self, start: &Start) -> Tokens {
-        self.at_most(self.guard.and_then(|guard| guard.proved(start)))
+        self.at_most(
+            self.commitment
+                .and_then(|commitment| commitment.proved(start)),
+        )
     }
 
     /// What is granted, or a lower bound where there is one.
--- a/tests/pinned_gateway.rs
+++ b/tests/pinned_gateway.rs
@@ -16,7 +16,7 @@
 use lanedeck::gateway::clock::Readings;
 use lanedeck::gateway::decision::refusal::{Reason, Refusal};
 use lanedeck::gateway::dialect::{Dialect, Forward, Listing};
-use lanedeck::gateway::escrow::{Guard, Loan, Rise, Row};
+use lanedeck::gateway::escrow::{Commitment, Loan, Ramp, Row};
 use lanedeck::gateway::members::Router;
 use lanedeck::gateway::message::{Heartbeat, Reply, Request};
 use lanedeck::gateway::metrics::Metrics;
@@ -85,36 +85,36 @@
         granted: Tokens(70_000),
         spent: Tokens(251),
         demand: 900,
-        guard: None,
+        commitment: None,
         cap: None,
     };
     pin("fb2c0105fc70110100fbfb00fb8403", &row);
     pin("0000000000", &Row::default());
-    let guard = Guard {
-        mark: Tokens(400),
+    let commitment = Commitment {
+        initial_limit: Tokens(400),
         until: Reading {
             boot: 7,
             at: Millis(9_000),
         },
-        rise: None,
+        ramp: None,
     };
     let promised = Row {
-        guard: Some(guard),
+        commitment: Some(commitment),
         ..row
     };
     pin_bytes(
         "fb2c0105fc70110100fbfb00fb8403fb900107fb2823",
         &promised.encode(),
     );
-    let rise = Rise {
+    let ramp = Ramp {
         begin: Millis(1_000),
         wall: Some(Millis(1_800_000_000_000)),
         rate: 70,
     };
     let rising = Row {
-        guard: Some(Guard {
-            rise: Some(rise),
-            ..guard
+        commitment: Some(Commitment {
+            ramp: Some(ramp),
+            ..commitment
         }),
         ..row
     };
--- a/tests/spend_guard.rs
+++ b/tests/spend_guard.rs
@@ -7,7 +7,7 @@
 use lanedeck::gateway::clock::{Clock, Readings};
 use lanedeck::gateway::decision::grant::{Role, Sizing};
 use lanedeck::gateway::escrow::guard::SPAN;
-use lanedeck::gateway::escrow::{Account, Guard, Holder, Ledger, Rise, Row, Short, Start};
+use lanedeck::gateway::escrow::{Account, Commitment, Holder, Ledger, Ramp, Row, Short, Start};
 use lanedeck::store::Era;
 use lanedeck::units::{Millis, Tokens};
 
@@ -124,7 +124,7 @@
     let counted = counted(&ledger, started, ON_TIME);
     // The fleet's time of day is taken to be off by half a second.
     let latest = written + Millis(2_000);
-    assert_eq!(Some(counted), row.guard.unwrap().limit(latest));
+    assert_eq!(Some(counted), row.commitment.unwrap().limit(latest));
     let lost = lost(&row, counted);
     assert!(lost <= 700, "{lost} in 1,000 lost of what was ahead");
 }
@@ -309,14 +309,14 @@
 #[test]
 fn kept_until_its_end() {
     let (mut account, ledger, row, written) = served();
-    let guard = row.guard.unwrap();
-    let until = guard.until;
+    let commitment = row.commitment.unwrap();
+    let until = commitment.until;
     assert_eq!(until, reading(written + SPAN));
     let mut within = Tokens::ZERO;
     for after in [0, 1_000, 4_000] {
         let at = written + Millis(after);
         within += spend_all(&mut account, &ledger, at);
-        let limit = guard.limit(at).unwrap();
+        let limit = commitment.limit(at).unwrap();
         assert!(row.spent + within <= limit, "{within} on {}", row.spent);
     }
     let after = spend_all(&mut account, &ledger, until.at);
@@ -334,12 +334,12 @@
         now += Millis(500);
         let sent = account.wanted(now, &ledger, &holder(1, START), PREPAID, &SIZING, COST);
         account.send(&sent);
-        ends.push(sent.guard.unwrap().until.at);
+        ends.push(sent.commitment.unwrap().until.at);
     }
     assert_eq!(ends, [written + Millis(500) + SPAN; 4]);
-    let last = Millis(row.guard.unwrap().until.at.0 - 1);
+    let last = Millis(row.commitment.unwrap().until.at.0 - 1);
     let within = spend_all(&mut account, &ledger, last);
-    let limit = row.guard.unwrap().limit(last).unwrap();
+    let limit = row.commitment.unwrap().limit(last).unwrap();
     assert!(row.spent + within <= limit, "the lower limit holds");
     account.withdraw(now);
     ledger.set("r0", Some(row));
@@ -350,16 +350,19 @@
 fn stored_form() {
     let (_, _, row, _) = served();
     assert_eq!(Row::decode(&row.encode()), Some(row));
-    let without_rate = row.guard.map(|guard| Guard {
-        rise: None,
-        ..guard
+    let without_rate = row.commitment.map(|commitment| Commitment {
+        ramp: None,
+        ..commitment
     });
     let earlier = Row {
-        guard: without_rate,
+        commitment: without_rate,
         ..row
     };
     assert_eq!(Row::decode(&earlier.encode()), Some(earlier), "no rate");
-    let earlier = Row { guard: None, ..row };
+    let earlier = Row {
+        commitment: None,
+        ..row
+    };
     assert_eq!(
         Row::decode(&earlier.encode()),
         Some(earlier),
@@ -373,37 +376,37 @@
 /// Promises that name no rate are kept as their programs made them: a fixed mark for three seconds.
 #[test]
 fn without_a_rate() {
-    let guard = Guard {
-        mark: Tokens(500),
+    let commitment = Commitment {
+        initial_limit: Tokens(500),
         until: reading(START + Millis(3_000)),
-        rise: None,
+        ramp: None,
     };
     let start = |after| Start {
         boot: Some(reading(START + Millis(after))),
         wall: None,
     };
-    assert_eq!(guard.proved(&start(0)), Some(Tokens(500)));
-    assert_eq!(guard.proved(&start(2_999)), Some(Tokens(500)));
-    assert_eq!(guard.proved(&start(3_000)), None);
-    assert_eq!(guard.proved(&Start::default()), None);
+    assert_eq!(commitment.proved(&start(0)), Some(Tokens(500)));
+    assert_eq!(commitment.proved(&start(2_999)), Some(Tokens(500)));
+    assert_eq!(commitment.proved(&start(3_000)), None);
+    assert_eq!(commitment.proved(&Start::default()), None);
 }
 
 /// Figures of another program may be of any size.
 #[test]
 fn endless_promise() {
-    let guard = Guard {
-        mark: Tokens(u64::MAX),
+    let commitment = Commitment {
+        initial_limit: Tokens(u64::MAX),
         until: reading(Millis(u64::MAX)),
-        rise: Some(Rise {
+        ramp: Some(Ramp {
             begin: Millis(0),
             wall: Some(Millis(u64::MAX)),
             rate: u64::MAX,
         }),
     };
-    assert_eq!(guard.limit(START), Some(Tokens(u64::MAX)));
+    assert_eq!(commitment.limit(START), Some(Tokens(u64::MAX)));
     let start = Start {
         boot: Some(reading(START)),
         wall: Some(START),
     };
-    assert_eq!(guard.proved(&start), None);
+    assert_eq!(commitment.proved(&start), None);
 }
