--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -9,7 +9,7 @@
 use super::apply::Reading;
 use super::context::Control;
 use super::{apply, quarantine};
-use crate::gateway::escrow::Seen;
+use crate::gateway::escrow::StoreAnswer;
 use crate::gateway::targets::Freshness;
 use crate::store::{CallError, Era, Page, Partition, Place, Record, Timeout, Topic, hedge};
 use crate::util;
@@ -63,11 +63,11 @@
         let asked = control.now();
         let result = self.read(control, wait).await;
         if let Some(next) = self.next.filter(|_| result.is_ok()) {
-            let seen = Seen {
+            let seen = StoreAnswer {
                 era: next.era,
                 at: asked,
             };
-            control.state.borrow_mut().note_store(seen);
+            control.state.borrow_mut().record_store_answer(seen);
         }
         control.shared.set_store_era(control.store.era());
         control
--- a/src/gateway/control/loans.rs
+++ b/src/gateway/control/loans.rs
@@ -135,7 +135,7 @@
 fn lenders(control: &Control, customer: &str) -> Vec<Router> {
     let state = control.state.borrow();
     let (now, name) = (control.now(), &state.members.me.name);
-    let mut lenders = state.richest(now, customer, RICHEST_MAX);
+    let mut lenders = state.routers_with_most_unspent(now, customer, RICHEST_MAX);
     let is_known = |router: &Router| lenders.iter().any(|lender| lender.name == router.name);
     let others: Vec<&Router> = state
         .holders(now, customer)
--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::context::Control;
-use crate::gateway::escrow::{Row, Seen};
+use crate::gateway::escrow::{Row, StoreAnswer};
 use crate::gateway::state::State;
 use crate::store::{CallError, Era, Page, Partition, Place, Record, Timeout, Topic, hedge};
 use crate::units::Millis;
@@ -180,7 +180,7 @@
             state.rows(control.now(), era, &waiting, is_here)
         }
         Purpose::GiveBack => {
-            let mut rows = control.state.borrow().last_rows(era);
+            let mut rows = control.state.borrow().final_rows(era);
             rows.retain(|(customer, _)| is_here(customer));
             rows
         }
@@ -206,8 +206,8 @@
             spent = row.spent.0,
             spent_before = row.spent_before.0,
             demand = row.demand,
-            cap = row.cap.map(|cap| cap.most.0),
-            least_cap = row.cap.map(|cap| cap.least.0),
+            cap = row.cap.map(|cap| cap.limit.0),
+            least_cap = row.cap.map(|cap| cap.lowest.0),
             offset = at.offset,
             era = at.era.0
         );
@@ -235,7 +235,7 @@
         control
             .state
             .borrow_mut()
-            .note_store(Seen { era, at: asked });
+            .record_store_answer(StoreAnswer { era, at: asked });
         take(control, known, &page);
         known.next = Some(page.next);
         if page.next >= page.end {
--- a/src/gateway/escrow/account.rs
+++ b/src/gateway/escrow/account.rs
@@ -3,7 +3,7 @@
 //! The account asserts after each change that spend and reservations stay within what is granted and
 //! borrowed.
 
-use super::cap::{Cap, Caps, Seen};
+use super::cap::{Cap, Caps, StoreAnswer};
 use super::guard::{self, Commitment, Ramp};
 use super::holder::{Holder, Predecessor};
 use super::row::{Ledger, Loan, Row};
@@ -77,14 +77,14 @@
             return Tokens(u64::MAX);
         };
         let sent = self.sent.iter().filter_map(|row| row.cap);
-        let least = sent.map(|cap| cap.most).chain(caps.least()).min();
+        let least = sent.map(|cap| cap.limit).chain(caps.least()).min();
         least.map_or(Tokens(u64::MAX), |least| {
             least.saturating_sub(self.spent_before)
         })
     }
 
     /// Notes that the store has answered.
-    pub fn confirm(&mut self, seen: &Seen, copy_age: Millis) {
+    pub fn confirm(&mut self, seen: &StoreAnswer, copy_age: Millis) {
         if let Some(caps) = &mut self.caps {
             caps.confirm(seen, copy_age);
         }
@@ -286,9 +286,9 @@
     /// bounds the router anyway, which an earlier process may have needed, whose demand is not known here.
     fn cap(&self, era: Era, reach: Tokens, prepaid: Tokens) -> Cap {
         let total = self.spent_before + self.used();
-        let least = Tokens(self.capped().0.saturating_add(self.spent_before.0));
-        let most = (total + reach).min(prepaid).max(total).max(least);
-        Cap { era, most, least }
+        let lowest = Tokens(self.capped().0.saturating_add(self.spent_before.0));
+        let limit = (total + reach).min(prepaid).max(total).max(lowest);
+        Cap { era, limit, lowest }
     }
 
     /// What was granted in an earlier era, which the first row of this one keeps: others count that and more for it.
@@ -405,7 +405,7 @@
         let used = self.used();
         let cap = self.written.and_then(|row| row.cap);
         let total = self.spent_before + used;
-        let reach = cap.map_or(Tokens::ZERO, |cap| cap.most.saturating_sub(total));
+        let reach = cap.map_or(Tokens::ZERO, |cap| cap.limit.saturating_sub(total));
         Row {
             incarnation,
             spent_before: self.spent_before,
--- a/src/gateway/escrow/cap.rs
+++ b/src/gateway/escrow/cap.rs
@@ -25,14 +25,14 @@
     /// The era in which the row was written.
     pub era: Era,
     /// Tokens that the router's processes do not pass, all together, while a copy may have this row as its newest.
-    pub most: Tokens,
+    pub limit: Tokens,
     /// The least of this and of the caps that held when it was written.
-    pub least: Tokens,
+    pub lowest: Tokens,
 }
 
 /// The last answer of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Seen {
+pub struct StoreAnswer {
     /// Its era.
     pub era: Era,
     /// When the call was made, by the clock of this router's host.
@@ -73,7 +73,7 @@
 
     /// Notes a row that the store has, or may have.
     pub fn note(&mut self, now: Millis, cap: &Cap) {
-        let (era, most) = (cap.era, cap.most);
+        let (era, most) = (cap.era, cap.limit);
         if let Some(kept) = self.kept.last_mut()
             && kept.era == era
             && now.saturating_sub(kept.first) < MERGED
@@ -91,7 +91,7 @@
     }
 
     /// Drops what no copy can have as its newest any more, as the store has answered.
-    pub fn confirm(&mut self, seen: &Seen, copy_age: Millis) {
+    pub fn confirm(&mut self, seen: &StoreAnswer, copy_age: Millis) {
         let is_in_every_copy =
             |kept: &Kept| kept.era == seen.era && kept.last + copy_age <= seen.at;
         if let Some(last) = self.kept.iter().rposition(is_in_every_copy) {
--- a/src/gateway/escrow/holder.rs
+++ b/src/gateway/escrow/holder.rs
@@ -55,7 +55,7 @@
         let former = self.row.former_cap(holder.era);
         let by_last = self.row.spent_at_most(start);
         let counted = match former {
-            Some(cap) => cap.most,
+            Some(cap) => cap.limit,
             None => self.row.spent_before + by_last,
         };
         if counted != self.counted {
@@ -78,6 +78,6 @@
     /// kept to the caps of its last rows. Nothing is known of them where the store may have lost later ones.
     pub(super) fn base(&self, era: Era) -> Tokens {
         let cap = self.row.cap.filter(|cap| cap.era == era);
-        cap.map_or(Tokens::ZERO, |cap| cap.least)
+        cap.map_or(Tokens::ZERO, |cap| cap.lowest)
     }
 }
--- a/src/gateway/escrow/mod.rs
+++ b/src/gateway/escrow/mod.rs
@@ -14,7 +14,7 @@
 mod row;
 
 pub use account::{Account, Short};
-pub use cap::{Cap, Caps, Seen};
+pub use cap::{Cap, Caps, StoreAnswer};
 pub use guard::{Commitment, Ramp, Start};
 pub use holder::Holder;
 pub use row::{Ledger, Loan, Row};
--- a/src/gateway/escrow/row.rs
+++ b/src/gateway/escrow/row.rs
@@ -96,7 +96,7 @@
     fn committed(&self, era: Era) -> Tokens {
         let granted = self.spent_before + self.granted;
         match self.former_cap(era) {
-            Some(cap) => cap.most.max(granted),
+            Some(cap) => cap.limit.max(granted),
             None => granted,
         }
     }
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -16,7 +16,7 @@
 use super::decision::refusal::Refusal;
 use super::decision::retry::{Bound, Budget, Charge};
 use super::dialect::{Listing, Load};
-use super::escrow::{Account, Ledger, Seen};
+use super::escrow::{Account, Ledger, StoreAnswer};
 use super::job::{Delivery, Ending, Job, Placement};
 use super::key::{JobKey, TargetKey};
 use super::members::{Members, Router};
@@ -76,7 +76,7 @@
     accounts: HashMap<String, Account>,
     ledgers: HashMap<String, Ledger>,
     prepaid: HashMap<String, Tokens>,
-    store_seen: Seen,
+    store_seen: StoreAnswer,
     retry_budgets: HashMap<String, Budget>,
     running: HashMap<JobKey, Running>,
     next_job: u64,
@@ -96,7 +96,7 @@
             accounts: HashMap::new(),
             ledgers: HashMap::new(),
             prepaid: HashMap::new(),
-            store_seen: Seen::default(),
+            store_seen: StoreAnswer::default(),
             retry_budgets: HashMap::new(),
             running: HashMap::new(),
             next_job: 1,
--- a/src/gateway/state/money.rs
+++ b/src/gateway/state/money.rs
@@ -7,7 +7,7 @@
 use super::{Running, State};
 use crate::gateway::decision::grant::{self, Role};
 use crate::gateway::decision::refusal::Refusal;
-use crate::gateway::escrow::{Account, Holder, Loan, Row, Seen, Short};
+use crate::gateway::escrow::{Account, Holder, Loan, Row, Short, StoreAnswer};
 use crate::gateway::job::{Delivery, Job};
 use crate::gateway::members::Router;
 use crate::store::Era;
@@ -134,7 +134,7 @@
     }
 
     /// The rows of a process that stops: they give back all that is not used.
-    pub fn last_rows(&self, era: Era) -> Vec<(String, Row)> {
+    pub fn final_rows(&self, era: Era) -> Vec<(String, Row)> {
         let incarnation = self.settings.me.incarnation;
         let accounts = self.accounts.iter();
         let accounts = accounts.filter(|(_, account)| account.is_written());
@@ -148,7 +148,7 @@
     }
 
     /// Notes that the store has answered a call.
-    pub fn note_store(&mut self, seen: Seen) {
+    pub fn record_store_answer(&mut self, seen: StoreAnswer) {
         let last = &mut self.store_seen;
         if (seen.era, seen.at) > (last.era, last.at) {
             *last = seen;
@@ -215,7 +215,12 @@
 
     /// The other live routers that hold most of a customer's tokens by their rows, the first with the most; at most
     /// `count` of those that hold any.
-    pub fn richest(&self, now: Millis, customer: &str, count: usize) -> Vec<&Router> {
+    pub fn routers_with_most_unspent(
+        &self,
+        now: Millis,
+        customer: &str,
+        count: usize,
+    ) -> Vec<&Router> {
         let Some(ledger) = self.ledgers.get(customer) else {
             return Vec::new();
         };
--- a/tests/escrow/mod.rs
+++ b/tests/escrow/mod.rs
@@ -4,7 +4,7 @@
 use lanedeck::boot_clock::Reading;
 use lanedeck::gateway::clock::{Clock, Readings};
 use lanedeck::gateway::decision::grant::{Role, Sizing};
-use lanedeck::gateway::escrow::{Account, Holder, Ledger, Row, Seen};
+use lanedeck::gateway::escrow::{Account, Holder, Ledger, Row, StoreAnswer};
 use lanedeck::store::{Era, Place};
 use lanedeck::units::{Millis, Tokens};
 
@@ -171,7 +171,7 @@
             }
         }
         self.read = end;
-        let seen = Seen { era: end.era, at };
+        let seen = StoreAnswer { era: end.era, at };
         self.account.confirm(&seen, copy_age);
         let (settled, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unknown)
             .into_iter()
