--- a/src/gateway/escrow/account.rs
+++ b/src/gateway/escrow/account.rs
@@ -1,92 +1,92 @@
-//! One router's account of one customer's budget: what it may spend, has reserved, spent, borrowed.
+//! One router's account of one customer's budget: tokens it may spend, has reserved, has spent and has borrowed.
 //!
-//! The account asserts after each change that spend and reservations stay within what is granted and
-//! borrowed.
+//! After each change the account asserts that spend and reservations stay within what is granted and borrowed.
 
 use super::cap::{Cap, Caps, StoreAnswer};
 use super::guard::{self, Commitment, Ramp};
-use super::holder::{Holder, Predecessor};
+use super::holder::{Predecessor, RowOwner};
 use super::row::{Ledger, Loan, Row};
 use crate::boot_clock::Reading;
 use crate::gateway::decision::grant::{
-    self, CommitmentSummary, Holding, Need, Role, Sizing, Spending,
+    self, CommitmentSummary, Need, Role, RowSummary, Sizing, Spending,
 };
 use crate::store::Era;
 use crate::units::{Millis, Tokens};
 
-/// Time constant of the estimate of demand, in milliseconds.
-const DEMAND_MEMORY: f64 = 5_000.0;
+/// Time constant of the exponentially decaying demand estimate, in milliseconds.
+const DEMAND_TIME_CONSTANT_MS: f64 = 5_000.0;
 
-/// Why a request cannot be paid for now.
+/// Why tokens cannot be reserved for a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Short {
-    /// What is left of the whole budget does not cover it.
+pub enum ReserveError {
+    /// The remainder of the whole budget does not cover the request.
     Exhausted,
-    /// This router's part does not cover it; more may come.
-    Here,
+    /// This router's part does not cover the request; it may still receive more.
+    LocalShortage,
 }
 
 /// This router's part of one customer's budget.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    /// Tokens that earlier processes of this router have spent, or may have.
+    /// Tokens that earlier processes of this router have spent, or may have spent.
     spent_before: Tokens,
-    /// What the last row says of an earlier process.
+    /// What the last row states about an earlier process.
     predecessor: Option<Predecessor>,
-    /// Rows that may be on their way to the store.
+    /// Rows that were sent to the store and may still be written.
     sent: Vec<Row>,
-    /// Tokens that other routers have lent, and count as spent.
+    /// Tokens that other routers have lent; they count as spent at the lenders.
     borrowed: Tokens,
     /// Tokens that were settled here or lent to others.
     spent: Tokens,
-    /// Tokens of requests under way.
+    /// Tokens reserved for requests in progress.
     reserved: Tokens,
-    /// Tokens a second that are asked for, decaying.
+    /// Decaying estimate of demand, in tokens a second.
     demand: f64,
-    /// When `demand` was last brought up to date.
+    /// When `demand` was last updated.
     demand_at: Millis,
-    /// Cost of the last request that was reserved for.
+    /// Cost of the last request that tokens were reserved for.
     last_cost: Tokens,
-    /// The row that the store has.
+    /// The row that the store has acknowledged.
     written: Option<Row>,
-    /// What bounds it while the store may come back from a copy; `None` where it never does.
+    /// Limits that apply while the store may be restored from a copy; `None` if it is never restored from one.
     caps: Option<Caps>,
 }
 
 impl Account {
-    /// What the row in the store grants this process.
+    /// Tokens that the row in the store grants this process.
     fn granted(&self) -> Tokens {
         self.written.map_or(Tokens::ZERO, |row| row.granted)
     }
 
-    /// What the row in the store lets this process spend by `now`.
-    fn acknowledged(&self, now: Millis) -> Tokens {
+    /// Tokens that the row in the store lets this process spend by `now`.
+    fn acknowledged_limit(&self, now: Millis) -> Tokens {
         self.written.map_or(Tokens::ZERO, |row| row.limit(now))
     }
 
-    /// What this process may spend of its own grant by `now`, whichever of its rows the store has, or comes back with.
+    /// Tokens that this process may spend of its own grant by `now`, whichever of its rows the store has now or is
+    /// restored with.
     fn limit(&self, now: Millis) -> Tokens {
         let sent = self.sent.iter().map(|row| row.limit(now));
-        let limit = sent.fold(self.acknowledged(now), Tokens::min);
-        limit.min(self.capped())
+        let limit = sent.fold(self.acknowledged_limit(now), Tokens::min);
+        limit.min(self.cap_limit())
     }
 
-    /// What caps let this process spend of its own grant.
-    fn capped(&self) -> Tokens {
+    /// Tokens that the caps let this process spend of its own grant.
+    fn cap_limit(&self) -> Tokens {
         let Some(caps) = &self.caps else {
             return Tokens(u64::MAX);
         };
         let sent = self.sent.iter().filter_map(|row| row.cap);
-        let least = sent.map(|cap| cap.limit).chain(caps.least()).min();
-        least.map_or(Tokens(u64::MAX), |least| {
-            least.saturating_sub(self.spent_before)
+        let lowest = sent.map(|cap| cap.limit).chain(caps.lowest()).min();
+        lowest.map_or(Tokens(u64::MAX), |lowest| {
+            lowest.saturating_sub(self.spent_before)
         })
     }
 
-    /// Notes that the store has answered.
-    pub fn confirm(&mut self, seen: &StoreAnswer, copy_age: Millis) {
+    /// Releases the caps that no longer apply, given the last answer of the store.
+    pub fn release_caps(&mut self, answer: &StoreAnswer, copy_age: Millis) {
         if let Some(caps) = &mut self.caps {
-            caps.confirm(seen, copy_age);
+            caps.release(answer, copy_age);
         }
     }
 
@@ -95,7 +95,7 @@
         (self.limit(now) + self.borrowed).saturating_sub(self.spent + self.reserved)
     }
 
-    /// Tokens that all routers together have spent, as far as their rows tell.
+    /// Tokens that all routers together have spent, according to their rows.
     pub fn spent(&self, ledger: &Ledger, router: &str) -> Tokens {
         ledger.spent_by_others(router) + self.spent_before + self.used()
     }
@@ -105,60 +105,60 @@
         (self.spent + self.reserved).saturating_sub(self.borrowed)
     }
 
-    /// Lends tokens to another router, for which they count as spent here; how many is returned.
+    /// Lends tokens to another router and counts them as spent here; returns the number lent.
     pub fn lend(&mut self, now: Millis, loan: Loan) -> Tokens {
         let lent = grant::lend(self.available(now), loan.lacking, loan.wanted);
         self.spent += lent;
-        self.note_demand(now, lent);
-        self.check();
+        self.record_demand(now, lent);
+        self.assert_within_limits();
         lent
     }
 
-    /// Takes out tokens that were borrowed, are neither spent nor reserved, and are more than `keep`, where these are
-    /// `least` or more; they are to be given to another router.
-    pub fn take_excess(&mut self, now: Millis, keep: Tokens, least: Tokens) -> Tokens {
+    /// Removes the borrowed tokens beyond `keep` that are neither spent nor reserved, if there are at least `min` of
+    /// them. The caller gives them to another router.
+    pub fn take_excess(&mut self, now: Millis, keep: Tokens, min: Tokens) -> Tokens {
         let unused = self.borrowed.saturating_sub(self.spent + self.reserved);
         let excess = unused.min(self.available(now)).saturating_sub(keep);
-        if excess < least {
+        if excess < min {
             return Tokens::ZERO;
         }
         self.borrowed = self.borrowed.saturating_sub(excess);
-        self.check();
+        self.assert_within_limits();
         excess
     }
 
-    /// Whether the store has a row of this process.
+    /// Whether the store has, or may have, a row of this process.
     pub fn is_written(&self) -> bool {
         self.written.is_some() || !self.sent.is_empty()
     }
 
-    /// Adds what another router has lent.
+    /// Adds tokens that another router has lent.
     pub fn borrow(&mut self, lent: Tokens) {
         self.borrowed += lent;
     }
 
-    /// Tokens that are asked for in a second.
+    /// Demand in tokens a second.
     pub fn demand(&mut self, now: Millis) -> Tokens {
         self.decay(now);
         Tokens(self.demand as u64)
     }
 
-    /// Notes that so many tokens were reserved or lent.
-    pub fn note_demand(&mut self, now: Millis, tokens: Tokens) {
+    /// Adds tokens that were reserved or lent to the demand estimate.
+    pub fn record_demand(&mut self, now: Millis, tokens: Tokens) {
         self.decay(now);
-        self.demand += tokens.0 as f64 * 1_000.0 / DEMAND_MEMORY;
+        self.demand += tokens.0 as f64 * 1_000.0 / DEMAND_TIME_CONSTANT_MS;
     }
 
     fn decay(&mut self, now: Millis) {
         let elapsed = now.saturating_sub(self.demand_at).0 as f64;
-        self.demand *= (-elapsed / DEMAND_MEMORY).exp();
+        self.demand *= (-elapsed / DEMAND_TIME_CONSTANT_MS).exp();
         self.demand_at = now;
     }
 
-    /// Sets tokens aside for a request.
+    /// Reserves tokens for a request.
     ///
     /// # Errors
-    /// Why it cannot be paid for.
+    /// Why they cannot be reserved.
     pub fn reserve(
         &mut self,
         now: Millis,
@@ -166,56 +166,56 @@
         prepaid: Tokens,
         ledger: &Ledger,
         router: &str,
-    ) -> Result<(), Short> {
+    ) -> Result<(), ReserveError> {
         if tokens <= self.available(now) {
             self.reserved += tokens;
             self.last_cost = tokens;
-            self.check();
+            self.assert_within_limits();
             return Ok(());
         }
         if self.spent(ledger, router) + tokens > prepaid {
-            return Err(Short::Exhausted);
+            return Err(ReserveError::Exhausted);
         }
-        Err(Short::Here)
+        Err(ReserveError::LocalShortage)
     }
 
-    /// Settles a reservation at what it has cost, at most what was reserved.
+    /// Settles a reservation at its actual cost, at most the reserved amount.
     pub fn settle(&mut self, reserved: Tokens, cost: Tokens) {
-        assert!(reserved <= self.reserved, "what is settled was reserved");
+        assert!(reserved <= self.reserved, "settled more than was reserved");
         self.reserved -= reserved;
         self.spent += cost.min(reserved);
-        self.check();
+        self.assert_within_limits();
     }
 
-    fn check(&self) {
+    fn assert_within_limits(&self) {
         assert!(
             self.spent + self.reserved <= self.granted() + self.borrowed,
-            "spend stays within what is granted and lent"
+            "spend and reservations exceed what is granted and borrowed"
         );
     }
 
-    /// The row that this router should have, from what the store was read to have. Requests that
-    /// wait need `waiting` tokens.
-    pub fn wanted(
+    /// Computes the row that this router should have, given the rows that were read from the store. Waiting requests
+    /// need `waiting` tokens.
+    pub fn desired_row(
         &mut self,
         now: Millis,
         ledger: &Ledger,
-        holder: &Holder<'_>,
+        owner: &RowOwner<'_>,
         prepaid: Tokens,
         sizing: &Sizing,
         waiting: Tokens,
     ) -> Row {
-        let Holder {
+        let RowOwner {
             router,
             incarnation,
             role,
             started,
             clock,
             era,
-        } = *holder;
+        } = *owner;
         self.decay(now);
-        self.adopt(now, ledger.row(router), holder);
-        self.begin_caps(era, sizing);
+        self.adopt_predecessor(now, ledger.row(router), owner);
+        self.init_caps(era, sizing);
         let used = self.used();
         let spent = ledger.spent_by_others(router) + self.spent_before + used;
         let need = Need {
@@ -228,16 +228,16 @@
             free: self.free(ledger, router, prepaid, era),
             granted: self.granted(),
         };
-        let granted = grant::size(sizing, &need).max(self.held_over(era));
+        let granted = grant::size(sizing, &need).max(self.carried_over_grant(era));
         let spending = Spending {
             need: &need,
             last_cost: self.last_cost,
-            ahead: granted.saturating_sub(used),
+            headroom: granted.saturating_sub(used),
             span: guard::SPAN,
         };
         let pace = grant::pace(&spending);
-        let made = self.promise_made(now);
-        let begin = made + pace.hold;
+        let made_at = self.commitment_made_at(now);
+        let begin = made_at + pace.ramp_delay;
         let ramp = Ramp {
             begin,
             wall: clock.offset(now).map(|offset| offset.wall(begin)),
@@ -245,11 +245,11 @@
         };
         let commitment = started.map(|started| Commitment {
             initial_limit: (used + pace.burst)
-                .saturating_sub(ramp.risen(now))
+                .saturating_sub(ramp.increase(now))
                 .min(granted),
             until: Reading {
                 boot: started.boot,
-                at: made + guard::SPAN,
+                at: made_at + guard::SPAN,
             },
             ramp: Some(ramp),
         });
@@ -260,74 +260,75 @@
             spent: used,
             demand: match role {
                 Role::Holder => self.demand as u64,
-                // It is counted where it borrows.
+                // Counted at the routers that it borrows from.
                 Role::Borrower => 0,
             },
             commitment,
             cap: self.caps.as_ref().map(|_| {
-                let reach = grant::reach(sizing, &spending);
-                self.cap(era, reach, prepaid)
+                let headroom = grant::cap_headroom(sizing, &spending);
+                self.cap(era, headroom, prepaid)
             }),
         }
     }
 
-    /// Begins to keep caps, where the store may come back from a copy: anew until a row has been written, since the
-    /// rows of an earlier process may not have been read before.
-    fn begin_caps(&mut self, era: Era, sizing: &Sizing) {
-        let has_begun = self.caps.as_ref().is_some_and(|caps| !caps.is_new());
-        if sizing.copy_age == Millis::ZERO || has_begun || !self.sent.is_empty() {
+    /// Creates the caps if the store may be restored from a copy. Until a row has been written they are created anew,
+    /// since the rows of an earlier process may not have been read before.
+    fn init_caps(&mut self, era: Era, sizing: &Sizing) {
+        let is_initialised = self.caps.as_ref().is_some_and(|caps| !caps.is_new());
+        if sizing.copy_age == Millis::ZERO || is_initialised || !self.sent.is_empty() {
             return;
         }
-        let base = self.predecessor.map(|before| before.base(era));
-        self.caps = Some(Caps::new(base.unwrap_or_default()));
+        let initial = self.predecessor.map(|before| before.initial_cap(era));
+        self.caps = Some(Caps::new(initial.unwrap_or_default()));
     }
 
-    /// The cap of a row that is written now, for a router that may spend `reach` more. It is never lower than what
-    /// bounds the router anyway, which an earlier process may have needed, whose demand is not known here.
-    fn cap(&self, era: Era, reach: Tokens, prepaid: Tokens) -> Cap {
+    /// The cap of a row that is written now, for a router that may spend `headroom` more. It is never lower than the
+    /// limit already in force, which an earlier process may have needed whose demand is not known here.
+    fn cap(&self, era: Era, headroom: Tokens, prepaid: Tokens) -> Cap {
         let total = self.spent_before + self.used();
-        let lowest = Tokens(self.capped().0.saturating_add(self.spent_before.0));
-        let limit = (total + reach).min(prepaid).max(total).max(lowest);
+        let lowest = Tokens(self.cap_limit().0.saturating_add(self.spent_before.0));
+        let limit = (total + headroom).min(prepaid).max(total).max(lowest);
         Cap { era, limit, lowest }
     }
 
-    /// What was granted in an earlier era, which the first row of this one keeps: others count that and more for it.
-    fn held_over(&self, era: Era) -> Tokens {
-        if !self.is_of_former_era(era) {
+    /// The grant of an earlier era, which the first row of this era keeps: other routers count at least that much as
+    /// granted to this one.
+    fn carried_over_grant(&self, era: Era) -> Tokens {
+        if !self.is_from_earlier_era(era) {
             return Tokens::ZERO;
         }
         let sent = self.sent.iter().map(|row| row.granted);
-        sent.fold(self.granted(), Tokens::min).min(self.capped())
+        sent.fold(self.granted(), Tokens::min).min(self.cap_limit())
     }
 
-    /// Whether the store's last row of this process is of an earlier era, so that another is due.
-    pub fn is_of_former_era(&self, era: Era) -> bool {
+    /// Whether the last acknowledged row of this process is from an earlier era of the store, so that a new row is due.
+    pub fn is_from_earlier_era(&self, era: Era) -> bool {
         let written = self.written.as_ref();
-        written.is_some_and(|row| row.former_cap(era).is_some())
+        written.is_some_and(|row| row.earlier_era_cap(era).is_some())
     }
 
-    /// When the promise of a row was made that is written now. While an earlier row may be on its way it is not
-    /// prolonged: writes are not answered, so what is granted may soon be needed.
-    fn promise_made(&self, now: Millis) -> Millis {
+    /// When the commitment of a row that is written now counts as made. While an earlier row may still be written, the
+    /// commitment is not extended: writes are not answered then, so the whole grant may soon be needed.
+    fn commitment_made_at(&self, now: Millis) -> Millis {
         let sent = self.sent.first().and_then(|row| row.commitment);
-        sent.map_or(now, |commitment| commitment.made())
+        sent.map_or(now, |commitment| commitment.made_at())
     }
 
-    /// Tokens of the budget that are granted to no other router.
+    /// Tokens of the budget that are not granted to any other router.
     fn free(&self, ledger: &Ledger, router: &str, prepaid: Tokens, era: Era) -> Tokens {
         if ledger.has_unreadable() {
             return self.granted();
         }
-        prepaid.saturating_sub(ledger.committed_by_others(router, era) + self.spent_before)
+        prepaid.saturating_sub(ledger.allocated_to_others(router, era) + self.spent_before)
     }
 
-    /// Whether a row differs enough from what was last written to be worth a call.
+    /// Whether a row differs enough from the last written one to be worth a store call.
     pub fn is_worth_writing(&self, row: &Row, prepaid: Tokens) -> bool {
-        grant::is_worth_writing(self.written.as_ref().map(holding), holding(row), prepaid)
+        grant::is_worth_writing(self.written.as_ref().map(summary), summary(row), prepaid)
     }
 
-    /// Whether a row that is written now can grant so many tokens more than are used, as far as the rows that were
-    /// last read tell.
+    /// Whether a row that is written now could grant `tokens` more than are used, according to the rows that were
+    /// last read.
     pub fn can_cover(
         &self,
         tokens: Tokens,
@@ -337,75 +338,75 @@
         era: Era,
     ) -> bool {
         let free = self.free(ledger, router, prepaid, era);
-        self.used() + tokens <= free.min(self.capped())
+        self.used() + tokens <= free.min(self.cap_limit())
     }
 
-    /// Whether a row lets more be spent now than there is.
-    pub fn gains(&self, now: Millis, row: &Row) -> bool {
-        let is_more = row.granted > self.granted() || row.limit(now) > self.acknowledged(now);
-        is_more && self.limit(now) < self.capped()
+    /// Whether writing the row would raise what can be spent now.
+    pub fn raises_limit(&self, now: Millis, row: &Row) -> bool {
+        let is_more = row.granted > self.granted() || row.limit(now) > self.acknowledged_limit(now);
+        is_more && self.limit(now) < self.cap_limit()
     }
 
-    /// Takes over what the store has of an earlier process of this router, which is gone. It is judged anew until
-    /// the fleet's time of day is known, and not after that: no later look knows more.
-    fn adopt(&mut self, now: Millis, row: Option<&Row>, holder: &Holder<'_>) {
-        // Once this process has written, another row of its router is one that a copy has brought back.
+    /// Takes over the stored row of an earlier, ended process of this router. Its spend is estimated anew until the
+    /// fleet's time of day is known. After that the estimate is final, since no later one has more information.
+    fn adopt_predecessor(&mut self, now: Millis, row: Option<&Row>, owner: &RowOwner<'_>) {
+        // Once this process has written, a differing row of its router can only come from a restored copy.
         let is_first = !self.is_written();
         if let Some(row) = row
-            && row.incarnation != holder.incarnation
-            && (is_first || row.former_cap(holder.era).is_none())
+            && row.incarnation != owner.incarnation
+            && (is_first || row.earlier_era_cap(owner.era).is_none())
             && self.predecessor.is_none_or(|before| before.row != *row)
         {
             self.predecessor = Some(Predecessor {
                 row: *row,
                 counted: Tokens::ZERO,
-                is_settled: false,
+                is_final: false,
             });
         }
         if let Some(predecessor) = &mut self.predecessor
-            && !predecessor.is_settled
+            && !predecessor.is_final
         {
-            predecessor.judge(holder, &holder.start(now));
+            predecessor.estimate_spent(owner, &owner.process_start(now));
             self.spent_before = predecessor.counted;
         }
     }
 
-    /// Notes that a row is on its way to the store: from now on the lower limit holds. An earlier row may still be
-    /// on its way too, so the least of all does.
-    pub fn send(&mut self, row: &Row) {
+    /// Records that a row was sent to the store. From now on the lower limit applies. Earlier rows may still be
+    /// written too, so the lowest limit of all of them applies.
+    pub fn mark_sent(&mut self, row: &Row) {
         self.sent.push(*row);
     }
 
-    /// Notes that the store has this row.
+    /// Records that the store has this row.
     pub fn acknowledge(&mut self, now: Millis, row: &Row) {
         self.withdraw(now);
-        self.note_cap(now, row);
+        self.record_cap(now, row);
         self.written = Some(*row);
-        self.check();
+        self.assert_within_limits();
     }
 
-    /// Notes that the rows that were sent are not in the store and never will be. Copies may have them all the same,
-    /// where the store has come back since.
+    /// Records that the sent rows are not in the store and never will be. Copies may still have them if the store was
+    /// restored in between.
     pub fn withdraw(&mut self, now: Millis) {
         for row in std::mem::take(&mut self.sent) {
-            self.note_cap(now, &row);
+            self.record_cap(now, &row);
         }
     }
 
-    /// Notes the cap of a row that the store has, or may have.
-    fn note_cap(&mut self, now: Millis, row: &Row) {
+    /// Records the cap of a row that the store has, or may have.
+    fn record_cap(&mut self, now: Millis, row: &Row) {
         if let (Some(caps), Some(cap)) = (&mut self.caps, &row.cap) {
-            caps.note(now, cap);
+            caps.record(now, cap);
         }
     }
 
-    /// The row that gives everything back, once nothing runs any more. Its cap leaves the next process what the last
-    /// one left to this: it binds both.
-    pub fn last_row(&self, incarnation: u64, era: Era, prepaid: Tokens) -> Row {
+    /// The row that gives back all unused tokens, written once no request runs any more. It keeps the cap of the
+    /// previous row, which leaves the next process the same room: the cap applies to both processes.
+    pub fn final_row(&self, incarnation: u64, era: Era, prepaid: Tokens) -> Row {
         let used = self.used();
         let cap = self.written.and_then(|row| row.cap);
         let total = self.spent_before + used;
-        let reach = cap.map_or(Tokens::ZERO, |cap| cap.limit.saturating_sub(total));
+        let headroom = cap.map_or(Tokens::ZERO, |cap| cap.limit.saturating_sub(total));
         Row {
             incarnation,
             spent_before: self.spent_before,
@@ -413,18 +414,18 @@
             spent: used,
             demand: 0,
             commitment: None,
-            cap: self.caps.as_ref().map(|_| self.cap(era, reach, prepaid)),
+            cap: self.caps.as_ref().map(|_| self.cap(era, headroom, prepaid)),
         }
     }
 }
 
-fn holding(row: &Row) -> Holding {
-    Holding {
+fn summary(row: &Row) -> RowSummary {
+    RowSummary {
         granted: row.granted,
         spent: row.spent,
         spent_before: row.spent_before,
         commitment: row.commitment.map(|commitment| CommitmentSummary {
-            made: commitment.made(),
+            made_at: commitment.made_at(),
             initial_limit: commitment.initial_limit,
         }),
     }
--- a/src/gateway/escrow/cap.rs
+++ b/src/gateway/escrow/cap.rs
@@ -1,108 +1,109 @@
-//! What bounds a router's spend while the store may come back from a copy.
+//! Limits on a router's spend while the store may be restored from a copy.
 //!
-//! The store may come back from a copy of itself, which lacks what was written in the last seconds. Rows of that time
-//! are gone then, whoever has acknowledged them, and so may be all that knew of them. Each row therefore names a cap,
-//! and its router's processes never spend more than the least cap of all rows that a copy may have as its newest: those
-//! that were acknowledged of late, the last one before, and any that may still be on its way. Where a copy may have
-//! none, nothing of the router's own grant is spent. So whatever row a copy has of a router, that one has spent no
-//! more than the row's cap; in the era after the return a row that was written before it counts with its cap, until
-//! its router has written another.
+//! The store may be restored from a copy of itself that lacks what was written in the last seconds. Rows of that time
+//! are then gone, whoever acknowledged them, and so may be every process that knew of them. Each row therefore names a
+//! cap, and the processes of its router never spend more than the lowest cap of all rows that may be the newest in a
+//! copy: those acknowledged recently, the last one before them, and any that may still be written. If a copy may have
+//! no row of the router, nothing of the router's own grant is spent. So whichever row of a router a copy has, the
+//! router has spent no more than that row's cap. In the era after a restore, a row that was written before it counts
+//! with its cap until its router has written another.
 //!
-//! This rests on the longest age of a copy, which operators set. A row is in every copy once the store has answered
-//! that much later, in the same era: a copy that is made later has it, and an earlier one is too old.
+//! This relies on the maximum age of a copy, which operators set. A row is in every copy once the store has answered
+//! that much later in the same era: a copy made later has the row, and one made earlier is too old.
 
 use serde::{Deserialize, Serialize};
 
 use crate::store::Era;
 use crate::units::{Millis, Tokens};
 
-/// Rows that are acknowledged within this time count as one, which bounds how many are remembered.
-const MERGED: Millis = Millis(250);
+/// Rows acknowledged within this time are merged into one entry, which bounds how many are kept.
+const MERGE_WINDOW: Millis = Millis(250);
 
-/// What a row says of the time after it. It is encoded for other processes, so the order of fields is part of its form.
+/// A row's cap on later spending. It is encoded for other processes, so the order of fields is part of the format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cap {
     /// The era in which the row was written.
     pub era: Era,
-    /// Tokens that the router's processes do not pass, all together, while a copy may have this row as its newest.
+    /// Tokens that all processes of the router together may spend while this row may be the newest in a copy.
     pub limit: Tokens,
-    /// The least of this and of the caps that held when it was written.
+    /// The lowest of this limit and of the caps in force when the row was written.
     pub lowest: Tokens,
 }
 
 /// The last answer of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreAnswer {
-    /// Its era.
+    /// The era of the store.
     pub era: Era,
     /// When the call was made, by the clock of this router's host.
     pub at: Millis,
 }
 
-/// Rows that were acknowledged one soon after the other.
+/// The caps of rows that were acknowledged within [`MERGE_WINDOW`].
 #[derive(Clone, Copy, Debug)]
-struct Kept {
+struct MergedCap {
     first: Millis,
     last: Millis,
     era: Era,
-    most: Tokens,
+    limit: Tokens,
 }
 
-/// The caps that hold for one router and customer.
+/// The caps in force for one router and customer.
 #[derive(Clone, Debug)]
 pub struct Caps {
-    /// What copies may have of the router before its process has written a row, until none has that any more.
-    base: Option<Tokens>,
-    /// In the order in which they were acknowledged.
-    kept: Vec<Kept>,
+    /// The limit from rows of the router that copies may have from before this process wrote its first row; `None` once
+    /// no copy can have such a row as its newest.
+    initial: Option<Tokens>,
+    /// In the order of acknowledgement.
+    acknowledged: Vec<MergedCap>,
 }
 
 impl Caps {
-    /// The caps of a process that has written no row yet.
-    pub fn new(base: Tokens) -> Self {
+    /// The caps of a process that has not written a row yet.
+    pub fn new(initial: Tokens) -> Self {
         Self {
-            base: Some(base),
-            kept: Vec::new(),
+            initial: Some(initial),
+            acknowledged: Vec::new(),
         }
     }
 
-    /// Whether no row of the process has been noted yet.
+    /// Whether no row of the process has been recorded yet.
     pub fn is_new(&self) -> bool {
-        self.kept.is_empty()
+        self.acknowledged.is_empty()
     }
 
-    /// Notes a row that the store has, or may have.
-    pub fn note(&mut self, now: Millis, cap: &Cap) {
-        let (era, most) = (cap.era, cap.limit);
-        if let Some(kept) = self.kept.last_mut()
-            && kept.era == era
-            && now.saturating_sub(kept.first) < MERGED
+    /// Records the cap of a row that the store has, or may have.
+    pub fn record(&mut self, now: Millis, cap: &Cap) {
+        let (era, limit) = (cap.era, cap.limit);
+        if let Some(merged) = self.acknowledged.last_mut()
+            && merged.era == era
+            && now.saturating_sub(merged.first) < MERGE_WINDOW
         {
-            kept.last = now;
-            kept.most = kept.most.min(most);
+            merged.last = now;
+            merged.limit = merged.limit.min(limit);
             return;
         }
-        self.kept.push(Kept {
+        self.acknowledged.push(MergedCap {
             first: now,
             last: now,
             era,
-            most,
+            limit,
         });
     }
 
-    /// Drops what no copy can have as its newest any more, as the store has answered.
-    pub fn confirm(&mut self, seen: &StoreAnswer, copy_age: Millis) {
+    /// Drops the caps of rows that can no longer be the newest in any copy, given the last answer of the store.
+    pub fn release(&mut self, answer: &StoreAnswer, copy_age: Millis) {
         let is_in_every_copy =
-            |kept: &Kept| kept.era == seen.era && kept.last + copy_age <= seen.at;
-        if let Some(last) = self.kept.iter().rposition(is_in_every_copy) {
-            self.kept.drain(..last);
-            self.base = None;
+            |merged: &MergedCap| merged.era == answer.era && merged.last + copy_age <= answer.at;
+        if let Some(last) = self.acknowledged.iter().rposition(is_in_every_copy) {
+            self.acknowledged.drain(..last);
+            self.initial = None;
         }
     }
 
-    /// The least of them; `None` where nothing is bounded.
-    pub fn least(&self) -> Option<Tokens> {
-        let kept = self.kept.iter().map(|kept| kept.most);
-        kept.chain(self.base).min()
+    /// The lowest limit in force; `None` if there is none.
+    pub fn lowest(&self) -> Option<Tokens> {
+        let limits = self.acknowledged.iter().map(|merged| merged.limit);
+        limits.chain(self.initial).min()
     }
 }
--- a/src/gateway/state/money.rs
+++ b/src/gateway/state/money.rs
@@ -7,7 +7,7 @@
 use super::{Running, State};
 use crate::gateway::decision::grant::{self, Role};
 use crate::gateway::decision::refusal::Refusal;
-use crate::gateway::escrow::{Account, Holder, Loan, Row, Short, StoreAnswer};
+use crate::gateway::escrow::{Account, Loan, ReserveError, Row, RowOwner, StoreAnswer};
 use crate::gateway::job::{Delivery, Job};
 use crate::gateway::members::Router;
 use crate::store::Era;
@@ -55,16 +55,16 @@
         let cost = job.max_cost();
         let ledger = self.ledgers.entry(customer.clone()).or_default();
         let account = self.accounts.entry(customer.clone()).or_default();
-        account.confirm(&self.store_seen, self.settings.sizing.copy_age);
+        account.release_caps(&self.store_seen, self.settings.sizing.copy_age);
         let name = &self.settings.me.name;
         match account.reserve(now, cost, *prepaid, ledger, name) {
             // A refused request comes again, so only those that are reserved for count as demand.
             Ok(()) => {
-                account.note_demand(now, cost);
+                account.record_demand(now, cost);
                 Ok(cost)
             }
-            Err(Short::Exhausted) => Err(Refusal::Exhausted),
-            Err(Short::Here) => Err(Refusal::Short),
+            Err(ReserveError::Exhausted) => Err(Refusal::Exhausted),
+            Err(ReserveError::LocalShortage) => Err(Refusal::Short),
         }
     }
 
@@ -111,7 +111,7 @@
         let mut rows = Vec::new();
         for (customer, prepaid) in customers {
             let role = self.role(now, &customer);
-            let holder = Holder {
+            let owner = RowOwner {
                 router: &self.settings.me.name,
                 incarnation: self.settings.me.incarnation,
                 role,
@@ -121,11 +121,11 @@
             };
             let ledger = self.ledgers.entry(customer.clone()).or_default();
             let account = self.accounts.entry(customer.clone()).or_default();
-            account.confirm(&self.store_seen, sizing.copy_age);
+            account.release_caps(&self.store_seen, sizing.copy_age);
             let needed = waiting.get(&customer).copied().unwrap_or(Tokens::ZERO);
-            let row = account.wanted(now, ledger, &holder, prepaid, &sizing, needed);
-            let is_needed = needed > Tokens::ZERO && account.gains(now, &row);
-            let is_due = account.is_of_former_era(era);
+            let row = account.desired_row(now, ledger, &owner, prepaid, &sizing, needed);
+            let is_needed = needed > Tokens::ZERO && account.raises_limit(now, &row);
+            let is_due = account.is_from_earlier_era(era);
             if is_needed || is_due || account.is_worth_writing(&row, prepaid) {
                 rows.push((customer, row));
             }
@@ -141,7 +141,7 @@
         accounts
             .map(|(customer, account)| {
                 let prepaid = self.prepaid.get(customer).copied().unwrap_or_default();
-                let row = account.last_row(incarnation, era, prepaid);
+                let row = account.final_row(incarnation, era, prepaid);
                 (customer.clone(), row)
             })
             .collect()
@@ -157,7 +157,7 @@
 
     /// Notes that these rows are on their way to the store.
     pub fn rows_sent(&mut self, rows: &[(String, Row)]) {
-        self.each_account(rows, |account, row| account.send(row));
+        self.each_account(rows, |account, row| account.mark_sent(row));
     }
 
     /// Notes that the store has these rows.
@@ -237,7 +237,7 @@
     pub fn lend(&mut self, now: Millis, customer: &str, loan: Loan) -> Tokens {
         let account = self.accounts.get_mut(customer);
         account.map_or(Tokens::ZERO, |account| {
-            account.confirm(&self.store_seen, self.settings.sizing.copy_age);
+            account.release_caps(&self.store_seen, self.settings.sizing.copy_age);
             account.lend(now, loan)
         })
     }
@@ -285,7 +285,7 @@
                 Remainder::All => (Tokens::ZERO, Tokens::ZERO),
                 Remainder::Worth => {
                     let prepaid = self.prepaid.get(&customer).copied();
-                    let least = grant::least_given_back(prepaid.unwrap_or_default());
+                    let least = grant::min_give_back(prepaid.unwrap_or_default());
                     (account.demand(now), least)
                 }
             };
--- a/tests/escrow/mod.rs
+++ b/tests/escrow/mod.rs
@@ -1,10 +1,10 @@
-//! Routers over a store of rows that loses answers, does appends late and comes back from copies.
+//! Model of routers over a store of rows that loses answers, performs appends late and is restored from copies.
 #![allow(dead_code, missing_docs)]
 
 use lanedeck::boot_clock::Reading;
 use lanedeck::gateway::clock::{Clock, Readings};
 use lanedeck::gateway::decision::grant::{Role, Sizing};
-use lanedeck::gateway::escrow::{Account, Holder, Ledger, Row, StoreAnswer};
+use lanedeck::gateway::escrow::{Account, Ledger, Row, RowOwner, StoreAnswer};
 use lanedeck::store::{Era, Place};
 use lanedeck::units::{Millis, Tokens};
 
@@ -12,7 +12,7 @@
 pub const BORROWER: &str = "r3";
 pub const STEPS: usize = 120;
 pub const SEEDS: u64 = 4_000;
-/// Random bytes of one run.
+/// Random bytes for one run.
 pub const BYTES: u64 = 4_096;
 pub const STARTED: Reading = Reading {
     boot: 1,
@@ -27,7 +27,7 @@
     copy_age: Millis::ZERO,
 };
 
-/// Most of a budget is held ahead, whatever the demand.
+/// Grants most of a budget in advance, whatever the demand.
 pub const AMPLE: Sizing = Sizing {
     horizon: Millis(16_000),
     exact: Millis(0),
@@ -37,25 +37,25 @@
     copy_age: Millis::ZERO,
 };
 
-/// Longest age of a copy that the store comes back from.
+/// Maximum age of a copy that the store is restored from.
 pub const COPY_AGE: Millis = Millis(2_000);
 
 pub type Log = Vec<(String, Row)>;
 
-/// The store: rows in the order that they were written.
+/// The store: rows in the order in which they were written.
 #[derive(Default)]
 pub struct Store {
     pub log: Log,
     pub era: Era,
-    /// The logs of former eras.
-    pub former: Vec<Log>,
-    /// What it held of late.
-    pub past: Vec<Past>,
+    /// The logs of earlier eras.
+    pub earlier_logs: Vec<Log>,
+    /// States of recent times, from which copies may be.
+    pub past: Vec<PastState>,
 }
 
-/// What the store held once: the first rows of an era's log.
+/// A past state of the store: the first `len` rows of an era's log.
 #[derive(Clone, Copy)]
-pub struct Past {
+pub struct PastState {
     pub until: Millis,
     pub era: usize,
     pub len: usize,
@@ -65,7 +65,7 @@
     pub fn append(&mut self, now: Millis, at: usize, router: &str, row: Row) -> bool {
         let fits = self.log.len() == at;
         if fits {
-            self.note_past(now);
+            self.record_state(now);
             self.log.push((router.to_owned(), row));
         }
         fits
@@ -78,31 +78,31 @@
         }
     }
 
-    pub fn note_past(&mut self, now: Millis) {
-        self.past.push(Past {
+    pub fn record_state(&mut self, now: Millis) {
+        self.past.push(PastState {
             until: now,
-            era: self.former.len(),
+            era: self.earlier_logs.len(),
             len: self.log.len(),
         });
     }
 
-    /// What copies of at most an age may hold, besides what it holds now.
-    pub fn copies(&mut self, now: Millis, copy_age: Millis) -> &[Past] {
+    /// The past states that copies of at most `copy_age` may hold.
+    pub fn copies(&mut self, now: Millis, copy_age: Millis) -> &[PastState] {
         let oldest = now.saturating_sub(copy_age);
         self.past.retain(|past| past.until >= oldest);
         &self.past
     }
 
-    /// Comes back from a copy.
-    pub fn restore(&mut self, now: Millis, past: Past) {
-        self.note_past(now);
-        self.former.push(std::mem::take(&mut self.log));
-        self.log = self.former[past.era][..past.len].to_vec();
+    /// Restores the store from a copy.
+    pub fn restore(&mut self, now: Millis, past: PastState) {
+        self.record_state(now);
+        self.earlier_logs.push(std::mem::take(&mut self.log));
+        self.log = self.earlier_logs[past.era][..past.len].to_vec();
         self.era.0 += 1;
     }
 }
 
-/// How far the time of day is ahead of the time of a run.
+/// How far the time of day is ahead of the simulated time.
 pub const WALL_AHEAD: Millis = Millis(50_000_000);
 
 pub struct Router {
@@ -114,12 +114,12 @@
     pub reserved: Vec<Tokens>,
     /// When its process had started, by its host's clock.
     pub started: Reading,
-    /// The same by the time of the run.
+    /// The same in simulated time.
     pub begun: Millis,
-    /// What other hosts have told it of their clocks.
+    /// What other hosts have reported of their clocks.
     pub clock: Clock,
-    /// Appends whose answers were lost, and where the log had to end for them.
-    pub unknown: Vec<(Place, Row)>,
+    /// Appends whose answers were lost, with the end of the log that each was conditional on.
+    pub unanswered: Vec<(Place, Row)>,
 }
 
 impl Router {
@@ -134,17 +134,17 @@
             ledger: Ledger::default(),
             read: Place::default(),
             reserved: Vec::new(),
-            unknown: Vec::new(),
+            unanswered: Vec::new(),
         }
     }
 
-    /// What its host's clock reads.
+    /// The reading of its host's steady clock.
     pub fn at(&self, now: Millis) -> Millis {
         self.started.at + now.saturating_sub(self.begun)
     }
 
-    /// Hears the time of day of three hosts, and of a fourth one that may be off by as much.
-    pub fn hear(&mut self, now: Millis, fourth_off: i64) {
+    /// Receives the time of day of three hosts, and of a fourth one that is off by `fourth_off` milliseconds.
+    pub fn receive_clocks(&mut self, now: Millis, fourth_off: i64) {
         let (at, wall) = (self.at(now), now + WALL_AHEAD);
         let off = Millis(wall.0.saturating_add_signed(fourth_off));
         for (host, wall) in [("h1", wall), ("h2", wall), ("h3", wall), ("h4", off)] {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Reads to the end of the log; all of it where the store has come back from a copy.
+    /// Reads to the end of the log, from its start if the store was restored from a copy.
     pub fn read(&mut self, now: Millis, store: &Store, copy_age: Millis) {
         let (at, end) = (self.at(now), store.end());
         let from = match self.read.era == end.era {
@@ -171,12 +171,12 @@
             }
         }
         self.read = end;
-        let seen = StoreAnswer { era: end.era, at };
-        self.account.confirm(&seen, copy_age);
-        let (settled, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unknown)
+        let answer = StoreAnswer { era: end.era, at };
+        self.account.release_caps(&answer, copy_age);
+        let (settled, left): (Vec<_>, Vec<_>) = std::mem::take(&mut self.unanswered)
             .into_iter()
             .partition(|(at, _)| end.offset > at.offset);
-        self.unknown = left;
+        self.unanswered = left;
         if settled.is_empty() {
             return;
         }
@@ -186,23 +186,23 @@
                 self.account.acknowledge(at, &row);
             }
         }
-        self.send_unknown();
+        self.mark_unanswered_sent();
     }
 
-    pub fn send_unknown(&mut self) {
-        for (_, row) in &self.unknown {
-            self.account.send(row);
+    pub fn mark_unanswered_sent(&mut self) {
+        for (_, row) in &self.unanswered {
+            self.account.mark_sent(row);
         }
     }
 
     pub fn row(&mut self, now: Millis, prepaid: Tokens, sizing: &Sizing, waiting: Tokens) -> Row {
-        // One router borrows, and has no grants but for what waits.
+        // One router borrows; it is granted only what its waiting requests need.
         let role = if self.name == BORROWER {
             Role::Borrower
         } else {
             Role::Holder
         };
-        let holder = Holder {
+        let owner = RowOwner {
             router: &self.name,
             incarnation: self.incarnation,
             role,
@@ -211,29 +211,29 @@
             era: self.read.era,
         };
         self.account
-            .wanted(now, &self.ledger, &holder, prepaid, sizing, waiting)
+            .desired_row(now, &self.ledger, &owner, prepaid, sizing, waiting)
     }
 }
 
-/// What an append comes to.
+/// The outcome of an append.
 #[derive(Clone, Copy)]
-pub enum Fate {
+pub enum AppendOutcome {
     Answered,
-    LostDone,
-    LostNotDone,
-    LostLate,
+    LostButDone,
+    LostAndNotDone,
+    LostAndLate,
 }
 
 pub struct World {
     pub store: Store,
     pub routers: Vec<Router>,
-    /// Appends that are done later, if they still fit.
+    /// Appends that are performed later, if their condition still holds.
     pub late: Vec<(Place, String, Row)>,
-    /// What targets have handed out, for which nobody can ask back.
+    /// Tokens that targets have delivered, which cannot be taken back.
     pub spent: u64,
     pub incarnations: u64,
     pub sizing: Sizing,
-    /// Whether routers hear of each other's clocks.
+    /// Whether routers receive each other's clock readings.
     pub has_fleet: bool,
 }
 
@@ -258,37 +258,37 @@
         now: Millis,
         prepaid: Tokens,
         waiting: Tokens,
-        fate: Fate,
+        outcome: AppendOutcome,
     ) {
         let router = &mut self.routers[index];
         router.read(now, &self.store, self.sizing.copy_age);
         let row = router.row(router.at(now), prepaid, &self.sizing, waiting);
-        router.account.send(&row);
+        router.account.mark_sent(&row);
         let at = router.read;
         let offset = at.offset as usize;
-        match fate {
-            Fate::Answered => {
+        match outcome {
+            AppendOutcome::Answered => {
                 assert!(self.store.append(now, offset, &router.name, row));
                 router.read = self.store.end();
                 let end = router.read;
-                router.unknown.retain(|(at, _)| end.offset <= at.offset);
+                router.unanswered.retain(|(at, _)| end.offset <= at.offset);
                 router.account.acknowledge(router.at(now), &row);
-                router.send_unknown();
+                router.mark_unanswered_sent();
                 router.ledger.set(&router.name, Some(row));
             }
-            Fate::LostDone => {
+            AppendOutcome::LostButDone => {
                 self.store.append(now, offset, &router.name, row);
-                router.unknown.push((at, row));
+                router.unanswered.push((at, row));
             }
-            Fate::LostNotDone => router.unknown.push((at, row)),
-            Fate::LostLate => {
+            AppendOutcome::LostAndNotDone => router.unanswered.push((at, row)),
+            AppendOutcome::LostAndLate => {
                 self.late.push((at, router.name.clone(), row));
-                router.unknown.push((at, row));
+                router.unanswered.push((at, row));
             }
         }
     }
 
-    /// Serves a request at one moment, where it can be paid for.
+    /// Serves a request at once, if tokens can be reserved for it.
     pub fn serve(&mut self, index: usize, now: Millis, cost: Tokens, prepaid: Tokens) {
         let now = self.routers[index].at(now);
         let Router {
@@ -298,7 +298,7 @@
             ..
         } = &mut self.routers[index];
         if account.reserve(now, cost, prepaid, ledger, name).is_ok() {
-            account.note_demand(now, cost);
+            account.record_demand(now, cost);
             account.settle(cost, cost);
             self.spent += cost.0;
         }
@@ -306,14 +306,14 @@
 
     /// Kills a router; the next process starts now, when its host's clock reads `started`.
     pub fn kill(&mut self, index: usize, started: Reading, now: Millis) {
-        // Whatever was under way may have been handed out whole.
+        // Everything in progress may have been delivered in full.
         let reserved: Tokens = self.routers[index].reserved.iter().copied().sum();
         self.spent += reserved.0;
         self.incarnations += 1;
         self.routers[index] = Router::new(index, self.incarnations, started, now);
     }
 
-    /// What was handed out and what may still be is within what was prepaid.
+    /// Checks that what was delivered and what still may be is within what was prepaid.
     pub fn check(&self, prepaid: Tokens) {
         let most = self.spent + self.outstanding();
         assert!(most <= prepaid.0, "spent {most} of {}", prepaid.0);
--- a/tests/escrow_rows.rs
+++ b/tests/escrow_rows.rs
@@ -1,6 +1,6 @@
-//! Prepaid budgets under escrow: randomised runs of several routers over a store that loses
-//! answers, does appends late, and of routers that die and come back. What all routers together
-//! spend never passes what was prepaid, and what nobody holds can be spent.
+//! Prepaid budgets under escrow: randomised runs of several routers that die and restart, over a store that loses
+//! answers and performs appends late. All routers together never spend more than was prepaid, and tokens that no router
+//! holds can be spent.
 
 mod escrow;
 
@@ -10,8 +10,8 @@
 use arbtest::arbtest;
 use escrow::*;
 use lanedeck::boot_clock::Reading;
-use lanedeck::gateway::decision::grant::{Sizing, least_given_back};
-use lanedeck::gateway::escrow::{Account, Loan, Short};
+use lanedeck::gateway::decision::grant::{Sizing, min_give_back};
+use lanedeck::gateway::escrow::{Account, Loan, ReserveError};
 use lanedeck::units::{Millis, Tokens};
 
 fn step(
@@ -23,20 +23,20 @@
     let index = u.int_in_range(0..=ROUTERS - 1)?;
     if world.has_fleet && u.ratio(2, 3)? {
         let fourth_off = u.int_in_range(-20_000..=20_000)?;
-        world.routers[index].hear(now, fourth_off);
+        world.routers[index].receive_clocks(now, fourth_off);
     }
     let at = world.routers[index].at(now);
     match u.int_in_range(0..=9)? {
         0..=3 => {
             let cost = Tokens(u.int_in_range(1..=400)?);
             let router = &mut world.routers[index];
-            router.account.note_demand(at, cost);
+            router.account.record_demand(at, cost);
             let result = router
                 .account
                 .reserve(at, cost, prepaid, &router.ledger, &router.name);
             match result {
                 Ok(()) => router.reserved.push(cost),
-                Err(Short::Here | Short::Exhausted) => {}
+                Err(ReserveError::LocalShortage | ReserveError::Exhausted) => {}
             }
         }
         4..=5 => {
@@ -47,15 +47,15 @@
             }
         }
         6..=7 => {
-            let fate = *u.choose(&[
-                Fate::Answered,
-                Fate::Answered,
-                Fate::LostDone,
-                Fate::LostNotDone,
-                Fate::LostLate,
+            let outcome = *u.choose(&[
+                AppendOutcome::Answered,
+                AppendOutcome::Answered,
+                AppendOutcome::LostButDone,
+                AppendOutcome::LostAndNotDone,
+                AppendOutcome::LostAndLate,
             ])?;
             let waiting = Tokens(u.int_in_range(0..=400)?);
-            world.renew(index, now, prepaid, waiting, fate);
+            world.renew(index, now, prepaid, waiting, outcome);
         }
         8 => {
             if let Some((at, name, row)) = world.late.pop() {
@@ -77,7 +77,7 @@
             }
         }
         _ => {
-            // A host that lost power has another boot, whose clock may read anything.
+            // A host that lost power has a new boot id, and its steady clock may read anything.
             let started = if u.ratio(1, 4)? {
                 let at = Millis(u.int_in_range(0..=2 * now.0)?);
                 Reading { boot: 2, at }
@@ -110,7 +110,7 @@
     }
 }
 
-/// Runs ample budgets, of which much is held ahead, with times of up to `gap_max` milliseconds between two steps.
+/// Runs ample budgets, of which much is granted in advance, with up to `gap_max` milliseconds between two steps.
 fn ample_runs(gap_max: u64, has_fleet: bool) {
     for seed in 1..=SEEDS {
         arbtest(|u| {
@@ -125,7 +125,7 @@
                 }
                 now += Millis(u.int_in_range(0..=gap_max)?);
                 step(&mut world, u, now, prepaid)?;
-                // Demand comes in bursts, and some of it uses up all that there is.
+                // Demand comes in bursts, some of which use up everything available.
                 let index = u.int_in_range(0..=ROUTERS - 1)?;
                 for _ in 0..u.int_in_range(0..=30)? {
                     world.serve(index, now, Tokens(400), prepaid);
@@ -138,20 +138,20 @@
     }
 }
 
-/// With long times between two writes of a router, so that promises end before their router dies.
+/// With long times between two writes of a router, so that commitments end before their router dies.
 #[test]
-fn never_over_a_promise() {
+fn never_over_a_commitment() {
     ample_runs(600, false);
 }
 
-/// The same where routers agree on the time of day, so that a promise outlives a loss of power; a quarter of those that
-/// are heard may be off by many seconds, and so may this host's clock after it.
+/// The same with routers that agree on the time of day, so that a commitment remains provable after a power loss. One
+/// in four of the reported times of day may be off by many seconds, and so may this host's clock after the power loss.
 #[test]
 fn never_over_a_loss_of_power() {
     ample_runs(900, true);
 }
 
-/// Has the store come back from a copy, and some routers die meanwhile.
+/// Restores the store from a copy, and kills some routers meanwhile.
 fn restore(
     world: &mut World,
     u: &mut Unstructured<'_>,
@@ -172,10 +172,11 @@
     Ok(())
 }
 
-/// The store comes back from copies of any age up to the longest, at any moment, also one time soon after the other.
+/// The store is restored from copies of any age up to the maximum, at any moment, also several times in close
+/// succession.
 #[test]
 fn never_over_returns() {
-    let (mut served, mut returns) = (0, 0);
+    let (mut served, mut restores) = (0, 0);
     for seed in 1..=SEEDS {
         arbtest(|u| {
             let prepaid = Tokens(u.int_in_range(2_000..=20_000)?);
@@ -198,7 +199,7 @@
                 let index = u.int_in_range(0..=ROUTERS - 1)?;
                 for _ in 0..u.int_in_range(1..=8)? {
                     now += Millis(u.int_in_range(0..=150)?);
-                    world.renew(index, now, prepaid, Tokens(200), Fate::Answered);
+                    world.renew(index, now, prepaid, Tokens(200), AppendOutcome::Answered);
                     world.serve(index, now, Tokens(200), prepaid);
                 }
                 if u.ratio(1, 20)? {
@@ -207,16 +208,16 @@
                 world.check(prepaid);
             }
             served += world.spent;
-            returns += world.store.era.0;
+            restores += world.store.era.0;
             Ok(())
         })
         .seed(seed << 32 | BYTES);
     }
     assert!(
-        served > 0 && returns > SEEDS,
-        "{served} tokens, {returns} returns"
+        served > 0 && restores > SEEDS,
+        "{served} tokens, {restores} restores"
     );
-    println!("{} tokens a run, {returns} returns", served / SEEDS);
+    println!("{} tokens a run, {restores} restores", served / SEEDS);
 }
 
 #[test]
@@ -228,8 +229,8 @@
     for number in 0..400_usize {
         let now = Millis(1_000_000 + number as u64 * 50);
         let index = number % ROUTERS;
-        world.routers[index].account.note_demand(now, cost);
-        world.renew(index, now, prepaid, cost, Fate::Answered);
+        world.routers[index].account.record_demand(now, cost);
+        world.renew(index, now, prepaid, cost, AppendOutcome::Answered);
         let router = &mut world.routers[index];
         if router
             .account
@@ -243,17 +244,21 @@
     assert_eq!(served, 100, "each token is spent once");
 }
 
-/// What a borrower has beyond its need is given back where it is worth a message, and kept where it is a few tokens.
+/// A borrower gives back tokens beyond its need if they are worth a message, and keeps them if they are only a few.
 #[test]
 fn few_tokens_stay() {
-    let (now, least) = (Millis(1_000_000), least_given_back(Tokens(2_000_000)));
+    let (now, min) = (Millis(1_000_000), min_give_back(Tokens(2_000_000)));
     let mut account = Account::default();
     account.borrow(Tokens(1_000));
-    let keep = Tokens(1_000 - least.0 + 1);
-    assert_eq!(account.take_excess(now, keep, least), Tokens::ZERO);
-    assert_eq!(account.available(now), Tokens(1_000), "nothing has gone");
-    let keep = Tokens(1_000 - least.0);
-    assert_eq!(account.take_excess(now, keep, least), least);
+    let keep = Tokens(1_000 - min.0 + 1);
+    assert_eq!(account.take_excess(now, keep, min), Tokens::ZERO);
+    assert_eq!(
+        account.available(now),
+        Tokens(1_000),
+        "nothing was given back"
+    );
+    let keep = Tokens(1_000 - min.0);
+    assert_eq!(account.take_excess(now, keep, min), min);
     assert_eq!(account.available(now), keep);
 }
 
@@ -262,11 +267,17 @@
     let mut world = World::new();
     let now = Millis(1_000_000);
     for index in 0..ROUTERS {
-        world.renew(index, now, Tokens(10_000), Tokens(500), Fate::Answered);
+        world.renew(
+            index,
+            now,
+            Tokens(10_000),
+            Tokens(500),
+            AppendOutcome::Answered,
+        );
     }
     let lowered = Tokens(100);
     for index in 0..ROUTERS {
-        world.renew(index, now, lowered, Tokens::ZERO, Fate::Answered);
+        world.renew(index, now, lowered, Tokens::ZERO, AppendOutcome::Answered);
     }
     let granted: HashMap<_, _> = world
         .store
--- a/tests/spend_guard.rs
+++ b/tests/spend_guard.rs
@@ -1,5 +1,5 @@
-//! What a router promises not to spend while the store answers it, and what the next process on its host may
-//! conclude once it is gone.
+//! Spending commitments: how much a router may spend while the store answers it, and what the next process on its host
+//! may conclude once the router is gone.
 
 use std::sync::LazyLock;
 
@@ -7,7 +7,9 @@
 use lanedeck::gateway::clock::{Clock, Readings};
 use lanedeck::gateway::decision::grant::{Role, Sizing};
 use lanedeck::gateway::escrow::guard::SPAN;
-use lanedeck::gateway::escrow::{Account, Commitment, Holder, Ledger, Ramp, Row, Short, Start};
+use lanedeck::gateway::escrow::{
+    Account, Commitment, Ledger, ProcessStart, Ramp, ReserveError, Row, RowOwner,
+};
 use lanedeck::store::Era;
 use lanedeck::units::{Millis, Tokens};
 
@@ -24,12 +26,12 @@
     copy_age: Millis::ZERO,
 };
 
-/// How far the time of day is ahead of the host's clock before its power is lost.
+/// How far the time of day is ahead of the host's steady clock, in milliseconds, before the power loss.
 const WALL_AHEAD: i64 = 50_000_000;
-const ON_TIME: [i64; 4] = [WALL_AHEAD; 4];
+const IN_AGREEMENT: [i64; 4] = [WALL_AHEAD; 4];
 static ALONE: LazyLock<Clock> = LazyLock::new(|| Clock::new(Some(BOOT)));
 
-/// The clocks as a host knows them whose own reads `now`, where four others' time of day is so far ahead of it.
+/// The clocks known to a host whose steady clock reads `now`, with the time of day of four other hosts `ahead` of it.
 fn agreed(now: Millis, ahead: [i64; 4]) -> Clock {
     let mut clock = Clock::new(Some(BOOT));
     for (host, ahead) in ["h1", "h2", "h3", "h4"].into_iter().zip(ahead) {
@@ -47,8 +49,8 @@
     Reading { boot: BOOT, at }
 }
 
-fn holder(incarnation: u64, started: Millis) -> Holder<'static> {
-    Holder {
+fn owner(incarnation: u64, started: Millis) -> RowOwner<'static> {
+    RowOwner {
         router: "r0",
         incarnation,
         role: Role::Holder,
@@ -58,24 +60,25 @@
     }
 }
 
-/// A row that is written and acknowledged at once.
+/// Writes a row, which is acknowledged at once.
 fn renew(account: &mut Account, ledger: &mut Ledger, now: Millis) -> Row {
-    renew_by(&agreed(now, ON_TIME), account, ledger, now)
+    renew_by(&agreed(now, IN_AGREEMENT), account, ledger, now)
 }
 
 fn renew_by(clock: &Clock, account: &mut Account, ledger: &mut Ledger, now: Millis) -> Row {
-    let holder = Holder {
+    let owner = RowOwner {
         clock,
-        ..holder(1, START)
+        ..owner(1, START)
     };
-    let row = account.wanted(now, ledger, &holder, PREPAID, &SIZING, COST);
-    account.send(&row);
+    let row = account.desired_row(now, ledger, &owner, PREPAID, &SIZING, COST);
+    account.mark_sent(&row);
     account.acknowledge(now, &row);
     ledger.set("r0", Some(row));
     row
 }
 
-/// A router that has served a while and reaches the store: its account, its last row, and when it wrote it.
+/// A router that has served for a while and reaches the store: its account, its ledger, its last row, and when it wrote
+/// that row.
 fn served() -> (Account, Ledger, Row, Millis) {
     let (mut account, mut ledger) = (Account::default(), Ledger::default());
     let mut now = START;
@@ -83,7 +86,7 @@
     for turn in 1..=60 {
         now += Millis(100);
         if account.reserve(now, COST, PREPAID, &ledger, "r0").is_ok() {
-            account.note_demand(now, COST);
+            account.record_demand(now, COST);
             account.settle(COST, COST);
         }
         if turn % 10 == 0 {
@@ -93,51 +96,51 @@
     (account, ledger, row, now)
 }
 
-/// What the next process on the host counts as spent by the last one. The fleet's time of day is `ahead` of its
-/// host's clock.
+/// Tokens that the next process on the host counts as spent by the previous one. The fleet's time of day is `ahead` of
+/// its host's steady clock.
 fn counted(ledger: &Ledger, started: Reading, ahead: [i64; 4]) -> Tokens {
     counted_by(&agreed(started.at, ahead), ledger, started)
 }
 
 fn counted_by(clock: &Clock, ledger: &Ledger, started: Reading) -> Tokens {
-    let next = Holder {
+    let next = RowOwner {
         started: Some(started),
         clock,
-        ..holder(2, START)
+        ..owner(2, START)
     };
     let mut account = Account::default();
-    let row = account.wanted(started.at, ledger, &next, PREPAID, &SIZING, Tokens::ZERO);
+    let row = account.desired_row(started.at, ledger, &next, PREPAID, &SIZING, Tokens::ZERO);
     row.spent_before
 }
 
-/// What is lost of what was held ahead, in thousandths.
-fn lost(row: &Row, counted: Tokens) -> u64 {
+/// The part of the unspent grant that is lost, in thousandths.
+fn lost_permille(row: &Row, counted: Tokens) -> u64 {
     (counted - row.spent).0 * 1_000 / (row.granted - row.spent).0
 }
 
-/// Killed and started again within the promise, a router loses what it might have spent by then; all that was
-/// granted ahead was lost before.
+/// A router that is killed and restarted within its commitment loses only what it could have spent by then. Without a
+/// commitment, all that was granted in advance is lost.
 #[test]
 fn quick_restart() {
     let (_, ledger, row, written) = served();
     let started = reading(written + Millis(1_500));
-    let counted = counted(&ledger, started, ON_TIME);
-    // The fleet's time of day is taken to be off by half a second.
+    let counted = counted(&ledger, started, IN_AGREEMENT);
+    // The error margin of the fleet's time of day is half a second.
     let latest = written + Millis(2_000);
     assert_eq!(Some(counted), row.commitment.unwrap().limit(latest));
-    let lost = lost(&row, counted);
-    assert!(lost <= 700, "{lost} in 1,000 lost of what was ahead");
+    let lost = lost_permille(&row, counted);
+    assert!(lost <= 700, "{lost} in 1,000 lost of the unspent grant");
 }
 
 #[test]
 fn late_restart() {
     let (_, ledger, row, written) = served();
     let started = reading(written + SPAN);
-    let counted = counted(&ledger, started, ON_TIME);
-    assert_eq!(counted, row.granted, "it may have passed");
+    let counted = counted(&ledger, started, IN_AGREEMENT);
+    assert_eq!(counted, row.granted, "the commitment may have ended");
 }
 
-/// After a loss of power the host's clock begins anew, and says nothing of the time before.
+/// After a power loss the host's steady clock restarts, and proves nothing about the time before.
 #[test]
 fn other_boot() {
     let (_, ledger, row, written) = served();
@@ -148,14 +151,14 @@
     assert_eq!(counted_by(&ALONE, &ledger, other), row.granted);
     let set_back = reading(written.saturating_sub(SPAN));
     assert_eq!(
-        counted(&ledger, set_back, ON_TIME),
+        counted(&ledger, set_back, IN_AGREEMENT),
         row.granted,
-        "before it was made"
+        "before the commitment was made"
     );
 }
 
-/// A start so long after a row, by the fleet's time of day, on a host whose clock began anew: its reading, and how far
-/// the fleet's time of day is ahead of that.
+/// A start `after` milliseconds after a row, by the fleet's time of day, on a host whose steady clock restarted: the
+/// clock's reading, and how far the fleet's time of day is ahead of it.
 fn powered_up(written: Millis, after: u64) -> (Reading, i64) {
     let other = Reading {
         boot: BOOT + 1,
@@ -165,40 +168,40 @@
     (other, wall - START.0 as i64)
 }
 
-/// What the fleet agrees on outlives a loss of power: what was lost is what might have been spent by then.
+/// The fleet's time of day survives a power loss: only what could have been spent by the restart is lost.
 #[test]
 fn loss_of_power() {
     let (_, ledger, row, written) = served();
     let (started, ahead) = powered_up(written, 2_000);
     let known = counted(&ledger, started, [ahead; 4]);
-    let lost_known = lost(&row, known);
+    let lost_known = lost_permille(&row, known);
     assert!(lost_known <= 700, "{lost_known} in 1,000 lost");
     assert_eq!(
         counted_by(&ALONE, &ledger, started),
         row.granted,
-        "no clocks"
+        "no clock readings"
     );
     let (started, ahead) = powered_up(written, SPAN.0);
     assert_eq!(
         counted(&ledger, started, [ahead; 4]),
         row.granted,
-        "too late"
+        "after the end of the commitment"
     );
 }
 
-/// Where one of four hosts has another time of day, the others are believed; where two have, nothing is proved,
-/// neither of the row nor of the start.
+/// If one of four hosts has a differing time of day, the other three are used. If two have, nothing is proven, whether
+/// they differ at the row or at the start.
 #[test]
-fn clocks_that_lie() {
+fn disagreeing_clocks() {
     let (_, mut ledger, row, written) = served();
     let (started, ahead) = powered_up(written, 4_000);
-    let truth = counted(&ledger, started, [ahead; 4]);
-    for lie in [-3_900, -2_000, 2_000, 60_000] {
+    let expected = counted(&ledger, started, [ahead; 4]);
+    for error in [-3_900, -2_000, 2_000, 60_000] {
         assert_eq!(
-            counted(&ledger, started, [ahead, ahead + lie, ahead, ahead]),
-            truth
+            counted(&ledger, started, [ahead, ahead + error, ahead, ahead]),
+            expected
         );
-        let half = [ahead, ahead + lie, ahead + lie, ahead];
+        let half = [ahead, ahead + error, ahead + error, ahead];
         assert_eq!(counted(&ledger, started, half), row.granted);
     }
     let ahead_too = WALL_AHEAD + 2_000;
@@ -208,7 +211,7 @@
     assert_eq!(counted(&ledger, started, [ahead; 4]), row.granted);
 }
 
-/// A time of day that is set back on all hosts is told by the host's own clock, as long as that counts on.
+/// A time of day that is set back on all hosts is detected by the host's steady clock, as long as that counts on.
 #[test]
 fn set_back_together() {
     let (_, ledger, row, written) = served();
@@ -217,12 +220,12 @@
     assert_eq!(counted(&ledger, started, [set_back; 4]), row.granted);
 }
 
-/// An id of a boot that hosts share although their clocks differ names no boot.
+/// A boot id that several hosts report although their steady clocks differ does not identify a boot.
 #[test]
 fn shared_boot_id() {
     let (_, ledger, row, written) = served();
     let (other, ahead) = powered_up(written, 1_000);
-    // By chance the new clock reads a time within the promise.
+    // By chance the restarted clock reads a time within the commitment.
     let started = reading(written + Millis(4_000));
     let ahead = ahead + other.at.0 as i64 - started.at.0 as i64;
     let by_boot = counted(&ledger, started, [ahead; 4]);
@@ -236,19 +239,19 @@
     assert!(by_boot < row.granted);
 }
 
-/// A process that starts before it has heard of clocks judges again once it has, and not after that.
+/// A process that starts before it has received clock readings repeats its estimate once it has, and not after that.
 #[test]
-fn judged_again() {
+fn estimated_again() {
     let (_, ledger, row, written) = served();
     let (started, ahead) = powered_up(written, 2_000);
     let mut account = Account::default();
     let mut spent_before = |clock: &Clock, at: Millis| {
-        let next = Holder {
+        let next = RowOwner {
             started: Some(started),
             clock,
-            ..holder(2, START)
+            ..owner(2, START)
         };
-        let row = account.wanted(at, &ledger, &next, PREPAID, &SIZING, Tokens::ZERO);
+        let row = account.desired_row(at, &ledger, &next, PREPAID, &SIZING, Tokens::ZERO);
         row.spent_before
     };
     assert_eq!(spent_before(&ALONE, started.at), row.granted);
@@ -256,10 +259,14 @@
     let known = spent_before(&agreed(at, [ahead; 4]), at);
     assert!(known < row.granted, "{known} of {}", row.granted);
     let later = at + Millis(60_000);
-    assert_eq!(spent_before(&ALONE, later), known, "it stays proved");
+    assert_eq!(
+        spent_before(&ALONE, later),
+        known,
+        "the proven estimate stays"
+    );
 }
 
-/// A router that nobody asks renews its promise too: what it holds is kept through a restart.
+/// An idle router renews its commitment too, so that a restart does not lose what it holds.
 #[test]
 fn idle_rows() {
     let (mut account, mut ledger) = (Account::default(), Ledger::default());
@@ -270,27 +277,27 @@
     let mut written = Vec::new();
     for turn in 0..20 {
         let now = START + Millis(turn * 1_000);
-        let clock = agreed(now, ON_TIME);
-        let holder = Holder {
+        let clock = agreed(now, IN_AGREEMENT);
+        let owner = RowOwner {
             clock: &clock,
-            ..holder(1, START)
+            ..owner(1, START)
         };
-        let row = account.wanted(now, &ledger, &holder, PREPAID, &sizing, Tokens::ZERO);
+        let row = account.desired_row(now, &ledger, &owner, PREPAID, &sizing, Tokens::ZERO);
         if account.is_worth_writing(&row, PREPAID) {
-            account.send(&row);
+            account.mark_sent(&row);
             account.acknowledge(now, &row);
             ledger.set("r0", Some(row));
             written.push(now);
         }
     }
-    assert_eq!(written.len(), 10, "each two seconds");
+    assert_eq!(written.len(), 10, "one write every two seconds");
     let row = *ledger.row("r0").unwrap();
     let started = reading(written[9] + Millis(3_000));
-    let lost = lost(&row, counted(&ledger, started, ON_TIME));
+    let lost = lost_permille(&row, counted(&ledger, started, IN_AGREEMENT));
     assert!(lost <= 500, "{lost} in 1,000 lost");
 }
 
-/// Spends all that an account lets it at one moment.
+/// Spends all that an account allows at one moment.
 fn spend_all(account: &mut Account, ledger: &Ledger, now: Millis) -> Tokens {
     let mut spent = Tokens::ZERO;
     let cost = Tokens(10);
@@ -300,12 +307,12 @@
     }
     assert_eq!(
         account.reserve(now, cost, PREPAID, ledger, "r0"),
-        Err(Short::Here)
+        Err(ReserveError::LocalShortage)
     );
     spent
 }
 
-/// Cut off from the store, a router keeps to its mark until the promise ends, and then has all that was granted.
+/// A router that is cut off from the store keeps to its limit until the commitment ends, and then has its whole grant.
 #[test]
 fn kept_until_its_end() {
     let (mut account, ledger, row, written) = served();
@@ -324,7 +331,7 @@
     assert!(row.spent + within + after <= row.granted);
 }
 
-/// While a write is not answered, later ones do not prolong the promise, which the store may have all the same.
+/// While a write is unanswered, later writes do not extend its commitment, since the store may have that row.
 #[test]
 fn unanswered_writes() {
     let (mut account, mut ledger, row, written) = served();
@@ -332,15 +339,15 @@
     let mut ends = Vec::new();
     for _ in 0..4 {
         now += Millis(500);
-        let sent = account.wanted(now, &ledger, &holder(1, START), PREPAID, &SIZING, COST);
-        account.send(&sent);
+        let sent = account.desired_row(now, &ledger, &owner(1, START), PREPAID, &SIZING, COST);
+        account.mark_sent(&sent);
         ends.push(sent.commitment.unwrap().until.at);
     }
     assert_eq!(ends, [written + Millis(500) + SPAN; 4]);
     let last = Millis(row.commitment.unwrap().until.at.0 - 1);
     let within = spend_all(&mut account, &ledger, last);
     let limit = row.commitment.unwrap().limit(last).unwrap();
-    assert!(row.spent + within <= limit, "the lower limit holds");
+    assert!(row.spent + within <= limit, "the lower limit applies");
     account.withdraw(now);
     ledger.set("r0", Some(row));
     assert!(spend_all(&mut account, &ledger, ends[0]) > Tokens::ZERO);
@@ -350,15 +357,19 @@
 fn stored_form() {
     let (_, _, row, _) = served();
     assert_eq!(Row::decode(&row.encode()), Some(row));
-    let without_rate = row.commitment.map(|commitment| Commitment {
+    let without_ramp = row.commitment.map(|commitment| Commitment {
         ramp: None,
         ..commitment
     });
     let earlier = Row {
-        commitment: without_rate,
+        commitment: without_ramp,
         ..row
     };
-    assert_eq!(Row::decode(&earlier.encode()), Some(earlier), "no rate");
+    assert_eq!(
+        Row::decode(&earlier.encode()),
+        Some(earlier),
+        "without a ramp"
+    );
     let earlier = Row {
         commitment: None,
         ..row
@@ -366,34 +377,38 @@
     assert_eq!(
         Row::decode(&earlier.encode()),
         Some(earlier),
-        "without a promise"
+        "without a commitment"
     );
     let mut cut = row.encode();
     cut.pop();
-    assert_eq!(Row::decode(&cut), None, "half a promise is none");
+    assert_eq!(
+        Row::decode(&cut),
+        None,
+        "a truncated commitment is not decoded"
+    );
 }
 
-/// Promises that name no rate are kept as their programs made them: a fixed mark for three seconds.
+/// Commitments without a ramp apply as the versions that wrote them defined: a fixed limit for three seconds.
 #[test]
-fn without_a_rate() {
+fn without_a_ramp() {
     let commitment = Commitment {
         initial_limit: Tokens(500),
         until: reading(START + Millis(3_000)),
         ramp: None,
     };
-    let start = |after| Start {
+    let start = |after| ProcessStart {
         boot: Some(reading(START + Millis(after))),
         wall: None,
     };
-    assert_eq!(commitment.proved(&start(0)), Some(Tokens(500)));
-    assert_eq!(commitment.proved(&start(2_999)), Some(Tokens(500)));
-    assert_eq!(commitment.proved(&start(3_000)), None);
-    assert_eq!(commitment.proved(&Start::default()), None);
+    assert_eq!(commitment.proven_limit(&start(0)), Some(Tokens(500)));
+    assert_eq!(commitment.proven_limit(&start(2_999)), Some(Tokens(500)));
+    assert_eq!(commitment.proven_limit(&start(3_000)), None);
+    assert_eq!(commitment.proven_limit(&ProcessStart::default()), None);
 }
 
-/// Figures of another program may be of any size.
+/// Values written by another version may be of any size.
 #[test]
-fn endless_promise() {
+fn extreme_commitment() {
     let commitment = Commitment {
         initial_limit: Tokens(u64::MAX),
         until: reading(Millis(u64::MAX)),
@@ -404,9 +419,9 @@
         }),
     };
     assert_eq!(commitment.limit(START), Some(Tokens(u64::MAX)));
-    let start = Start {
+    let start = ProcessStart {
         boot: Some(reading(START)),
         wall: Some(START),
     };
-    assert_eq!(commitment.proved(&start), None);
+    assert_eq!(commitment.proven_limit(&start), None);
 }
