--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -1,8 +1,8 @@
-//! The control state of a gateway: the requests under way, the targets, the other routers and the
-//! accounts of prepaid budgets.
+//! The control state of a gateway: the requests in progress, the targets, the other routers and the accounts of prepaid
+//! budgets.
 //!
-//! Pure code: it is told the time, changes only itself, and answers. It relies on the rules in
-//! [`decision`](super::decision) and never waits or sends anything.
+//! This is pure code: callers pass in the time, and only the state itself changes. It applies the rules in
+//! [`decision`](super::decision), and never waits or sends anything.
 
 mod money;
 
@@ -30,33 +30,33 @@
 /// Settings of the control state.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This router.
+    /// This router's own entry.
     pub me: Router,
-    /// Interval of heartbeats.
+    /// Heartbeat interval.
     pub heartbeat: Millis,
-    /// The fleet's bound on retries.
+    /// The fleet-wide bound on retries.
     pub retries: Bound,
-    /// How grants are sized.
+    /// Parameters of grant sizing.
     pub sizing: Sizing,
-    /// Seed of random choices.
+    /// Seed for random choices.
     pub seed: u64,
-    /// When this process was sure to be the only one of its name, where its host has a steady clock.
+    /// A time at which this process was certain to be the only one of its name, if its host has a steady clock.
     pub started: Option<Reading>,
 }
 
 #[derive(Debug)]
 struct Running {
     job: Job,
-    /// The service that was drawn for it.
+    /// The service that was chosen for it.
     service: String,
     tried: Vec<TargetKey>,
-    /// The target of its current attempt.
+    /// The target of the current attempt.
     target: Option<TargetKey>,
-    /// When that attempt began.
+    /// When the current attempt began.
     sent: Millis,
-    /// Prompt tokens of that attempt, until the target has begun to answer.
+    /// Prompt tokens of the current attempt; zero once the target has begun to answer.
     backlog: u64,
-    /// Reserved until the request has ended, however often it is tried.
+    /// Tokens reserved until the request ends, however often it is tried.
     reserved: Tokens,
     delivery: Delivery,
 }
@@ -69,14 +69,14 @@
     pub targets: Targets,
     /// The routers.
     pub members: Members,
-    /// The time of day that the hosts agree on.
+    /// The clocks of the fleet's hosts, and the time of day that they agree on.
     pub clock: Clock,
-    /// Requests that were beside crashes of targets.
+    /// Requests that were in progress at targets that crashed.
     pub quarantine: Quarantine,
     accounts: HashMap<String, Account>,
     ledgers: HashMap<String, Ledger>,
     prepaid: HashMap<String, Tokens>,
-    store_seen: StoreAnswer,
+    last_store_answer: StoreAnswer,
     retry_budgets: HashMap<String, Budget>,
     running: HashMap<JobKey, Running>,
     next_job: u64,
@@ -84,7 +84,7 @@
 }
 
 impl State {
-    /// The state of a router that knows nothing yet.
+    /// Creates the state of a router that has received no information yet.
     pub fn new(settings: Settings) -> Self {
         Self {
             members: Members::new(settings.me.clone(), settings.heartbeat),
@@ -96,17 +96,17 @@
             accounts: HashMap::new(),
             ledgers: HashMap::new(),
             prepaid: HashMap::new(),
-            store_seen: StoreAnswer::default(),
+            last_store_answer: StoreAnswer::default(),
             retry_budgets: HashMap::new(),
             running: HashMap::new(),
             next_job: 1,
         }
     }
 
-    /// Starts a request: chooses a target and reserves what it may cost.
+    /// Starts a request: chooses a target and reserves the request's maximum cost.
     ///
     /// # Errors
-    /// Why it does not run. [`Refusal::Short`] may change with the next grant.
+    /// Why the request cannot run. [`Refusal::Short`] may be resolved by the next grant.
     pub fn begin(&mut self, now: Millis, job: Job) -> Result<Placement, Refusal> {
         self.check_quarantine(now, &job)?;
         let service = self.draw_service(&job);
@@ -132,10 +132,10 @@
         Ok(self.place(now, key, running, target))
     }
 
-    /// Starts another attempt of a request whose last one has failed.
+    /// Starts another attempt of a request whose last attempt has failed.
     ///
     /// # Errors
-    /// Why there is none; the request has then ended.
+    /// Why there is no other attempt; the request has then ended.
     pub fn retry(
         &mut self,
         now: Millis,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The target of a retry, if there is one and the retry budget allows it.
+    /// Chooses the target of a retry, if there is one and the retry budget allows it.
     fn retry_target(
         &mut self,
         now: Millis,
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Takes in what a request's target says of itself in the head of its answer; what of it other routers are to be
-    /// told.
+    /// Applies a target's notices about itself from the head of its answer; returns those that other routers need to
+    /// know.
     pub fn heard(&mut self, now: Millis, key: JobKey, notice: &Notice) -> Vec<Word> {
         let Some(running) = self.running.get(&key) else {
             return Vec::new();
@@ -230,7 +230,7 @@
         news
     }
 
-    /// Takes in what another router tells of what targets said; whether some of it is news.
+    /// Merges target notices that another router forwards; returns whether any of them is new.
     pub fn merge(&mut self, now: Millis, reports: &[Report], router: Option<&str>) -> bool {
         let mut is_news = false;
         for report in reports {
@@ -244,7 +244,7 @@
         is_news
     }
 
-    /// Notes that a target has begun to answer, and the load that it reported.
+    /// Records that a target has begun to answer, and the load that it reported.
     pub fn answered(&mut self, now: Millis, key: JobKey, load: Option<Load>) {
         let Some(running) = self.running.get_mut(&key) else {
             return;
@@ -262,7 +262,7 @@
         }
     }
 
-    /// Whether a request may be sent to targets.
+    /// Checks that a request is not quarantined.
     fn check_quarantine(&self, now: Millis, job: &Job) -> Result<(), Refusal> {
         match self.quarantine.hold(now, job.fingerprint) {
             Some(hold) => Err(Refusal::Quarantined {
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Notes that a request's target broke off. The target is returned where it may have crashed and that is
+    /// Records that a target broke off its answer to a request. Returns the target if it may have crashed and that is
     /// not known yet.
     pub fn broke_off(&mut self, now: Millis, key: JobKey) -> Option<TargetKey> {
         let running = self.running.get(&key)?;
@@ -293,7 +293,7 @@
         (!has_crashed).then_some(target)
     }
 
-    /// Takes in what is listed of a target. One that has started again without a word that it leaves has crashed.
+    /// Applies a target's listing. A target that restarted without a notice that it was leaving has crashed.
     pub fn list(&mut self, now: Millis, listing: Listing, freshness: Freshness) -> Change {
         let change = match freshness {
             Freshness::Newest => self.targets.list(listing),
@@ -307,19 +307,19 @@
         change
     }
 
-    /// Notes that a target has crashed.
+    /// Records that a target has crashed.
     pub fn crashed(&mut self, now: Millis, target: TargetKey) {
         self.targets.note_crash(now, target);
         let listed = self.targets.get(target);
         let (hash, instance) = (listed.hash(), listed.listing.instance.clone());
-        let beside = self.quarantine.note_crash(now, hash);
-        tracing::warn!(event = "target_crashed", %instance, beside = beside.len());
-        for broken in &beside {
+        let interrupted = self.quarantine.note_crash(now, hash);
+        tracing::warn!(event = "target_crashed", %instance, beside = interrupted.len());
+        for broken in &interrupted {
             log_crash(now, broken, &instance);
         }
     }
 
-    /// Notes that a request has ended.
+    /// Records that a request has ended.
     pub fn end(&mut self, now: Millis, key: JobKey, ending: Ending) {
         if let Some(mut running) = self.running.remove(&key) {
             if let Some(Outcome::Answered { .. }) = ending.outcome {
@@ -348,7 +348,7 @@
         }
     }
 
-    /// Draws one of the services of a request's route by their weights.
+    /// Chooses one of the services of a request's route at random, by weight.
     fn draw_service(&mut self, job: &Job) -> String {
         let total: f64 = job.services.iter().map(|(_, weight)| weight).sum();
         let mut at = self.random.random::<f64>() * total;
@@ -358,7 +358,7 @@
                 return service.clone();
             }
         }
-        // Rounding may leave a little after the last; a route without services has no targets.
+        // Rounding may leave a remainder after the last service; a route without services has no targets.
         let last = job.services.last();
         last.map_or_else(String::new, |(service, _)| service.clone())
     }
@@ -367,8 +367,8 @@
         let hall = &self.settings.me.hall;
         let service = &running.service;
         let barred = self.targets.barred(now, &self.members, service);
-        let left_out = [&barred.targets[..], &running.tried[..]].concat();
-        let candidates = self.targets.candidates(now, service, &left_out);
+        let excluded = [&barred.targets[..], &running.tried[..]].concat();
+        let candidates = self.targets.candidates(now, service, &excluded);
         let candidates = self.targets.avoid_cold(now, &self.members, candidates);
         let choice = match &running.job.prompt {
             Some(prompt) => self.targets.choose_model(now, &candidates, hall, prompt),
@@ -390,7 +390,7 @@
     }
 }
 
-/// Logs that a request was beside a crash: what a request that is held back later was decided by.
+/// Logs that a request was in progress at a target that crashed: the evidence for a later quarantine of the request.
 fn log_crash(now: Millis, broken: &Broken, instance: &str) {
     tracing::info!(
         event = "crash_noted",
--- a/src/gateway/state/money.rs
+++ b/src/gateway/state/money.rs
@@ -1,5 +1,5 @@
-//! The money of the control state: what it reserves and settles, the rows that it keeps in the store,
-//! and what it lends and borrows.
+//! Prepaid tokens in the control state: reservations and their settlement, this router's rows in the store, and loans
+//! between routers.
 
 use std::cmp::Reverse;
 use std::collections::HashMap;
@@ -13,17 +13,17 @@
 use crate::store::Era;
 use crate::units::{Millis, Tokens};
 
-/// Which borrowed tokens are given to the routers that hold a customer's grants.
+/// Which borrowed tokens are given back to the routers that hold a customer's grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Remainder {
-    /// Those beyond the demand of a second, where they are worth a message.
-    Worth,
-    /// All that are not used.
+    /// Those beyond one second of demand, if there are enough of them to be worth a message.
+    WorthSending,
+    /// All unused ones.
     All,
 }
 
 impl State {
-    /// Settles a request that has ended at what was delivered to its customer.
+    /// Settles a request that has ended, at the cost of what was delivered to its customer.
     pub(super) fn settle(&mut self, running: &Running) {
         let reserved = running.reserved;
         let prompt = running.job.prompt.as_ref();
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Reserves the most that a request may cost.
+    /// Reserves a request's maximum cost.
     pub(super) fn reserve(&mut self, now: Millis, job: &Job) -> Result<Tokens, Refusal> {
         let Some((customer, prepaid)) = &job.payer else {
             return Ok(Tokens::ZERO);
@@ -55,10 +55,10 @@
         let cost = job.max_cost();
         let ledger = self.ledgers.entry(customer.clone()).or_default();
         let account = self.accounts.entry(customer.clone()).or_default();
-        account.release_caps(&self.store_seen, self.settings.sizing.copy_age);
+        account.release_caps(&self.last_store_answer, self.settings.sizing.copy_age);
         let name = &self.settings.me.name;
         match account.reserve(now, cost, *prepaid, ledger, name) {
-            // A refused request comes again, so only those that are reserved for count as demand.
+            // A refused request is sent again, so only reserved requests count as demand.
             Ok(()) => {
                 account.record_demand(now, cost);
                 Ok(cost)
@@ -68,31 +68,31 @@
         }
     }
 
-    /// Sets what a customer has prepaid in all.
+    /// Sets a customer's total prepaid budget.
     pub fn set_prepaid(&mut self, customer: &str, prepaid: Tokens) {
         self.prepaid.insert(customer.to_owned(), prepaid);
     }
 
-    /// The customers whose budgets are kept.
+    /// The customers that have a prepaid budget.
     pub fn payers(&self) -> Vec<String> {
         self.prepaid.keys().cloned().collect()
     }
 
-    /// Sets a router's row as the store has it.
+    /// Sets a router's row to the stored one.
     pub fn set_row(&mut self, customer: &str, router: &str, row: Option<Row>) {
         let ledger = self.ledgers.entry(customer.to_owned()).or_default();
         ledger.set(router, row);
     }
 
-    /// Notes that a router's row in the store cannot be decoded.
+    /// Records that a router's row in the store cannot be decoded.
     pub fn set_unreadable_row(&mut self, customer: &str, router: &str) {
         let ledger = self.ledgers.entry(customer.to_owned()).or_default();
         ledger.set_unreadable(router);
     }
 
-    /// The rows that are worth writing now, of the customers that `includes` names. `waiting` has the
-    /// tokens that requests wait for. The ledgers must be as of the place that the rows are written
-    /// at, which is of this era.
+    /// The rows that are worth writing now, for the customers that `includes` selects. `waiting` has the tokens that
+    /// requests wait for. The ledgers must be up to date with the place that the rows are written at, which is in this
+    /// era.
     pub fn rows(
         &mut self,
         now: Millis,
@@ -121,7 +121,7 @@
             };
             let ledger = self.ledgers.entry(customer.clone()).or_default();
             let account = self.accounts.entry(customer.clone()).or_default();
-            account.release_caps(&self.store_seen, sizing.copy_age);
+            account.release_caps(&self.last_store_answer, sizing.copy_age);
             let needed = waiting.get(&customer).copied().unwrap_or(Tokens::ZERO);
             let row = account.desired_row(now, ledger, &owner, prepaid, &sizing, needed);
             let is_needed = needed > Tokens::ZERO && account.raises_limit(now, &row);
@@ -133,7 +133,7 @@
         rows
     }
 
-    /// The rows of a process that stops: they give back all that is not used.
+    /// The rows of a process that stops: they give back all unused tokens.
     pub fn final_rows(&self, era: Era) -> Vec<(String, Row)> {
         let incarnation = self.settings.me.incarnation;
         let accounts = self.accounts.iter();
@@ -147,34 +147,34 @@
             .collect()
     }
 
-    /// Notes that the store has answered a call.
+    /// Records that the store has answered a call.
     pub fn record_store_answer(&mut self, seen: StoreAnswer) {
-        let last = &mut self.store_seen;
+        let last = &mut self.last_store_answer;
         if (seen.era, seen.at) > (last.era, last.at) {
             *last = seen;
         }
     }
 
-    /// Notes that these rows are on their way to the store.
+    /// Records that these rows were sent to the store.
     pub fn rows_sent(&mut self, rows: &[(String, Row)]) {
-        self.each_account(rows, |account, row| account.mark_sent(row));
+        self.for_each_account(rows, |account, row| account.mark_sent(row));
     }
 
-    /// Notes that the store has these rows.
+    /// Records that the store has these rows.
     pub fn rows_acknowledged(&mut self, now: Millis, rows: &[(String, Row)]) {
-        self.each_account(rows, |account, row| account.acknowledge(now, row));
+        self.for_each_account(rows, |account, row| account.acknowledge(now, row));
         let name = self.settings.me.name.clone();
         for (customer, row) in rows {
             self.set_row(customer, &name, Some(*row));
         }
     }
 
-    /// Notes that these rows are not in the store and never will be.
+    /// Records that these rows are not in the store and never will be.
     pub fn rows_withdrawn(&mut self, now: Millis, rows: &[(String, Row)]) {
-        self.each_account(rows, |account, _| account.withdraw(now));
+        self.for_each_account(rows, |account, _| account.withdraw(now));
     }
 
-    fn each_account(&mut self, rows: &[(String, Row)], act: impl Fn(&mut Account, &Row)) {
+    fn for_each_account(&mut self, rows: &[(String, Row)], act: impl Fn(&mut Account, &Row)) {
         for (customer, row) in rows {
             if let Some(account) = self.accounts.get_mut(customer) {
                 act(account, row);
@@ -182,8 +182,8 @@
         }
     }
 
-    /// Tokens that this router can still reserve for a customer, and tokens that all routers together
-    /// have spent as far as that is known.
+    /// Tokens that this router can still reserve for a customer, and tokens that all routers together are known to have
+    /// spent.
     pub fn balance(&self, now: Millis, customer: &str) -> (Tokens, Tokens) {
         let (Some(account), Some(ledger)) =
             (self.accounts.get(customer), self.ledgers.get(customer))
@@ -194,7 +194,7 @@
         (account.available(now), spent)
     }
 
-    /// This router's part in keeping a customer's budget.
+    /// This router's role for a customer's budget.
     pub fn role(&mut self, now: Millis, customer: &str) -> Role {
         let me = self.settings.me.name.as_str();
         let holders = self.holders(now, customer);
@@ -207,14 +207,14 @@
         grant::role_by_demand(demand, others, self.settings.sizing.holders)
     }
 
-    /// The routers that hold a customer's grants.
+    /// The routers that regularly hold a customer's grants.
     pub fn holders(&self, now: Millis, customer: &str) -> Vec<&Router> {
         let count = self.settings.sizing.holders;
         self.members.holders(now, customer, count)
     }
 
-    /// The other live routers that hold most of a customer's tokens by their rows, the first with the most; at most
-    /// `count` of those that hold any.
+    /// The other live routers with the most unspent tokens of a customer according to their rows, in descending order;
+    /// at most `count` of those that have any.
     pub fn routers_with_most_unspent(
         &self,
         now: Millis,
@@ -225,24 +225,25 @@
             return Vec::new();
         };
         let live = self.members.live(now);
-        let held = live.filter_map(|router| Some((ledger.row(&router.name)?.unspent(), router)));
-        let mut rich: Vec<(Tokens, &Router)> =
-            held.filter(|(tokens, _)| *tokens > Tokens::ZERO).collect();
-        rich.sort_unstable_by_key(|(tokens, router)| (Reverse(*tokens), &router.name));
-        rich.truncate(count);
-        rich.into_iter().map(|(_, router)| router).collect()
+        let unspent = live.filter_map(|router| Some((ledger.row(&router.name)?.unspent(), router)));
+        let mut routers: Vec<(Tokens, &Router)> = unspent
+            .filter(|(tokens, _)| *tokens > Tokens::ZERO)
+            .collect();
+        routers.sort_unstable_by_key(|(tokens, router)| (Reverse(*tokens), &router.name));
+        routers.truncate(count);
+        routers.into_iter().map(|(_, router)| router).collect()
     }
 
-    /// Lends tokens to another router; how many is returned.
+    /// Lends tokens to another router; returns the number lent.
     pub fn lend(&mut self, now: Millis, customer: &str, loan: Loan) -> Tokens {
         let account = self.accounts.get_mut(customer);
         account.map_or(Tokens::ZERO, |account| {
-            account.release_caps(&self.store_seen, self.settings.sizing.copy_age);
+            account.release_caps(&self.last_store_answer, self.settings.sizing.copy_age);
             account.lend(now, loan)
         })
     }
 
-    /// Whether a write to the store can let this router lend so many tokens more.
+    /// Whether a write to the store could let this router lend `tokens` more.
     pub fn can_cover(&self, customer: &str, tokens: Tokens) -> bool {
         let (Some(account), Some(ledger), Some(prepaid)) = (
             self.accounts.get(customer),
@@ -252,21 +253,21 @@
             return false;
         };
         let name = &self.settings.me.name;
-        account.can_cover(tokens, ledger, name, *prepaid, self.store_seen.era)
+        account.can_cover(tokens, ledger, name, *prepaid, self.last_store_answer.era)
     }
 
-    /// Takes out what was borrowed and is more than the demand of a second, of each customer whose
-    /// grants others hold; it is to be given to them.
+    /// Removes the borrowed tokens beyond one second of demand, for each customer whose grants other routers hold. The
+    /// caller gives them to those routers.
     pub fn take_excess(&mut self, now: Millis) -> Vec<(String, Tokens)> {
         let customers: Vec<String> = self.accounts.keys().cloned().collect();
         let borrowed = customers
             .into_iter()
             .filter(|customer| self.role(now, customer) == Role::Borrower);
         let borrowed: Vec<String> = borrowed.collect();
-        self.take_borrowed(now, borrowed, Remainder::Worth)
+        self.take_borrowed(now, borrowed, Remainder::WorthSending)
     }
 
-    /// Takes out all that was borrowed and not used.
+    /// Removes all borrowed tokens that are not used.
     pub fn take_unused(&mut self, now: Millis) -> Vec<(String, Tokens)> {
         let customers = self.accounts.keys().cloned().collect();
         self.take_borrowed(now, customers, Remainder::All)
@@ -281,15 +282,15 @@
         let mut taken = Vec::new();
         for customer in customers {
             let account = self.accounts.entry(customer.clone()).or_default();
-            let (keep, least) = match remainder {
+            let (keep, min) = match remainder {
                 Remainder::All => (Tokens::ZERO, Tokens::ZERO),
-                Remainder::Worth => {
+                Remainder::WorthSending => {
                     let prepaid = self.prepaid.get(&customer).copied();
-                    let least = grant::min_give_back(prepaid.unwrap_or_default());
-                    (account.demand(now), least)
+                    let min = grant::min_give_back(prepaid.unwrap_or_default());
+                    (account.demand(now), min)
                 }
             };
-            let tokens = account.take_excess(now, keep, least);
+            let tokens = account.take_excess(now, keep, min);
             if tokens > Tokens::ZERO {
                 taken.push((customer, tokens));
             }
@@ -297,20 +298,20 @@
         taken
     }
 
-    /// Adds what another router has lent or given back.
+    /// Adds tokens that another router has lent or given back.
     pub fn borrow(&mut self, customer: &str, tokens: Tokens) {
         let account = self.accounts.entry(customer.to_owned()).or_default();
         account.borrow(tokens);
     }
 
-    /// Tokens that this router lacks to pay for requests of this cost.
+    /// Tokens that this router lacks to cover `cost`.
     pub fn lacking(&self, now: Millis, customer: &str, cost: Tokens) -> Tokens {
         let account = self.accounts.get(customer);
         let available = account.map(|account| account.available(now));
         cost.saturating_sub(available.unwrap_or(Tokens::ZERO))
     }
 
-    /// Tokens a second that are asked of this router for a customer.
+    /// A customer's demand at this router, in tokens a second.
     pub fn demand(&mut self, now: Millis, customer: &str) -> Tokens {
         let account = self.accounts.get_mut(customer);
         account.map_or(Tokens::ZERO, |account| account.demand(now))
