--- a/tests/gateway_loans.rs
+++ b/tests/gateway_loans.rs
@@ -1,4 +1,4 @@
-//! Few routers hold a customer's grants; the others borrow from them, also while the store is out.
+//! A few routers hold a customer's grants; the others borrow from them, also while the store is unavailable.
 
 mod deployment;
 mod fleet;
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 const NOW: Millis = Millis(1_000_000);
-const PLENTY: u64 = 1_000_000;
+const AMPLE_BUDGET: u64 = 1_000_000;
 const MORE_THAN_GRANTED: u64 = 600_000;
 
 /// The fleet as one of its routers sees it.
@@ -53,11 +53,11 @@
         );
         used.extend(names);
     }
-    assert_eq!(used.len(), 30, "customers are spread over all");
+    assert_eq!(used.len(), 30, "customers are spread over all routers");
     assert_eq!(
         holders(&members(0, 3), "anna", 4).len(),
         3,
-        "all of a small fleet"
+        "all routers of a small fleet"
     );
 }
 
@@ -76,7 +76,11 @@
     } else {
         members.update(NOW, leaving, Source::Link);
     }
-    assert_ne!(holders(&members, "anna", 1), [first], "another one holds");
+    assert_ne!(
+        holders(&members, "anna", 1),
+        [first],
+        "another router is the holder"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -84,7 +88,7 @@
     let engine = Runner::start("i-1").await;
     let flags = ["--holders", "1"];
     let runners = [("engine", &engine)];
-    let deployment = Deployment::start_with(3, &config(1, PLENTY), &runners, &flags).await;
+    let deployment = Deployment::start_with(3, &config(1, AMPLE_BUDGET), &runners, &flags).await;
     deployment.wait_acquainted().await;
     let mut number = 0;
     let mut served = async |gateway: usize| {
@@ -93,7 +97,7 @@
         let front = deployment.gateways[gateway].front;
         ask(front, &request).await.status == 200
     };
-    // Whichever holds the customer's grants gets to know the demand.
+    // The holder of the customer's grants learns the demand.
     for turn in 0..60 {
         served(turn % 3).await;
     }
@@ -117,10 +121,10 @@
 async fn no_grants() {
     let engine = Runner::start("i-1").await;
     let runners = [("engine", &engine)];
-    let deployment = Deployment::start(2, &config(1, PLENTY), &runners).await;
+    let deployment = Deployment::start(2, &config(1, AMPLE_BUDGET), &runners).await;
     deployment.wait_acquainted().await;
     let (cut, lender) = (&deployment.gateways[0], &deployment.gateways[1]);
-    // The store answers one gateway about all but grants.
+    // The store answers one gateway about everything except grants.
     deployment.store.set_fault(cut.store, Fault::NoGrants);
     for number in 0..60 {
         let request = Ask::talk(&format!("l{number}"), "/talk/x", 100, 50);
@@ -131,11 +135,11 @@
         let request = Ask::talk(&format!("c{number}"), "/talk/x", 100, 50);
         served += u32::from(ask(cut.front, &request).await.status == 200);
     }
-    assert_eq!(served, 30, "the other one lends at once");
+    assert_eq!(served, 30, "the other gateway lends at once");
 }
 
-/// What a gateway's log says of loans that it was asked for and did not have.
-fn nothing_lent(log: &Path) -> usize {
+/// The number of loans, according to a gateway's log, that it was asked for and had no tokens for.
+fn empty_loans(log: &Path) -> usize {
     let log = std::fs::read_to_string(log).unwrap();
     let lines = log.lines();
     lines
@@ -143,14 +147,15 @@
         .count()
 }
 
-/// Routers do not ask each other without end for tokens that nobody has.
+/// Routers do not ask each other endlessly for tokens that none of them has.
 #[tokio::test(flavor = "multi_thread")]
 async fn nothing_to_lend() {
     let engine = Runner::start("i-1").await;
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"));
     let run = rand::random::<u64>();
     let log = |number: usize| folder.join(format!("loans-{run}-g{number}.log"));
-    let mut deployment = Deployment::start(0, &config(1, PLENTY), &[("engine", &engine)]).await;
+    let mut deployment =
+        Deployment::start(0, &config(1, AMPLE_BUDGET), &[("engine", &engine)]).await;
     for number in 0..2 {
         let name = format!("g{number}");
         let flags = ["--partitions", "1"];
@@ -160,7 +165,7 @@
     }
     deployment.wait_ready().await;
     deployment.wait_acquainted().await;
-    // With a row that nobody can read, the store has nothing more to grant.
+    // With a row that cannot be decoded, the store has nothing more to grant.
     let row = format!("{CUSTOMER}/g9");
     let strange = json!("the row of a later program");
     deployment.store.put("keyed.prepaid", &row, Some(&strange));
@@ -171,17 +176,17 @@
         assert_eq!(ask(front, &request).await.status, 503);
     }
     let pauses = begun.elapsed().as_millis() / u128::from(NOTHING_PAUSE.0) + 1;
-    // In each, peers are asked before the store and after it, by requests and by each renewal.
+    // In each pause, peers are asked before and after the store, by requests and by each renewal.
     let rounds = usize::try_from(4 * pauses).unwrap();
-    let asked = nothing_lent(&log(1));
+    let asked = empty_loans(&log(1));
     for number in 0..2 {
         std::fs::remove_file(log(number)).unwrap();
     }
     assert!(
         asked <= rounds,
-        "{asked} times asked in {pauses} pauses for what is not there"
+        "{asked} loans requested in {pauses} pauses while no router has tokens"
     );
-    // A change ends the pause: there is something to grant again.
+    // A change ends the pause: the store can grant tokens again.
     deployment.store.put("keyed.prepaid", &row, None);
     until(|| async {
         let request = Ask::talk("later", "/talk/x", MORE_THAN_GRANTED, 50);
--- a/tests/gateway_spend.rs
+++ b/tests/gateway_spend.rs
@@ -1,4 +1,4 @@
-//! What counts against a prepaid budget: what was handed out to the customer, once a request.
+//! What counts against a prepaid budget: what was delivered to the customer, once for each request.
 
 mod deployment;
 
@@ -7,14 +7,14 @@
 
 const PREPAID: u64 = 1_000;
 const PROMPT: u64 = 100;
-const MOST: u64 = 50;
+const MAX_TOKENS: u64 = 50;
 
-/// Asks until there is an answer other than that the grant has not come yet, which promises that
-/// the request has not run.
-async fn asked(deployment: &Deployment, id: &str, path: &str) -> Answer {
+/// Repeats a request until the answer is something other than 503. A 503 means that the grant has not arrived yet, and
+/// guarantees that the request has not run.
+async fn ask_until_granted(deployment: &Deployment, id: &str, path: &str) -> Answer {
     let front = deployment.gateways[0].front;
     for number in 0.. {
-        let request = Ask::talk(&format!("{id}-{number}"), path, PROMPT, MOST);
+        let request = Ask::talk(&format!("{id}-{number}"), path, PROMPT, MAX_TOKENS);
         let answer = ask(front, &request).await;
         if answer.status != 503 {
             return answer;
@@ -30,13 +30,13 @@
     let deployment = Deployment::start(1, &config(1, PREPAID), &runners).await;
     engine.set(Mode::Lose);
     for number in 0..12 {
-        let answer = asked(&deployment, &format!("lost{number}"), "/talk/x").await;
-        assert_eq!(answer.status, 502, "of which nothing was handed out");
+        let answer = ask_until_granted(&deployment, &format!("lost{number}"), "/talk/x").await;
+        assert_eq!(answer.status, 502, "nothing was delivered");
     }
     engine.set(Mode::Well);
     for number in 0..8 {
-        let answer = asked(&deployment, &format!("well{number}"), "/talk/x").await;
-        assert_eq!(answer.status, 200, "nothing is spent by what was lost");
+        let answer = ask_until_granted(&deployment, &format!("well{number}"), "/talk/x").await;
+        assert_eq!(answer.status, 200, "lost answers spend nothing");
     }
 }
 
@@ -49,10 +49,13 @@
     let runners = [("engine", &first), ("engine", &second)];
     let deployment = Deployment::start(1, &config(1, PREPAID), &runners).await;
     for number in 0..6 {
-        let answer = asked(&deployment, &format!("s{number}"), "/resume/x").await;
-        assert_eq!(answer.status, 200, "each costs its most, and only once");
+        let answer = ask_until_granted(&deployment, &format!("s{number}"), "/resume/x").await;
+        assert_eq!(
+            answer.status, 200,
+            "each stream costs its maximum, and only once"
+        );
         assert_eq!(answer.events(), [1, 2, 3, 4]);
     }
-    let answer = asked(&deployment, "more", "/resume/x").await;
-    assert_eq!(answer.status, 402, "what broke off midway is spent");
+    let answer = ask_until_granted(&deployment, "more", "/resume/x").await;
+    assert_eq!(answer.status, 402, "streams that broke off count as spent");
 }
--- a/tests/store_restored.rs
+++ b/tests/store_restored.rs
@@ -1,5 +1,4 @@
-//! The store comes back from a copy that is some seconds old: what was written since is gone, and offsets are given
-//! out again.
+//! The store is restored from a copy that is some seconds old: what was written since is gone, and offsets are reused.
 
 mod deployment;
 
@@ -15,22 +14,22 @@
 use serde_json::{Value, json};
 use tokio::time::{Instant, sleep};
 
-const PLENTY: u64 = 200_000;
+const AMPLE_BUDGET: u64 = 200_000;
 const PROMPT: u64 = 100;
-/// What one stream costs.
-const EACH: u64 = PROMPT + EVENTS as u64;
+/// Cost of one stream.
+const STREAM_COST: u64 = PROMPT + EVENTS as u64;
 /// A budget that is used up within a test.
 const PREPAID: u64 = 20_000;
-/// Callers that send streams at once.
+/// Callers that send streams concurrently.
 const CALLERS: usize = 8;
 /// Longer than the interval at which routers renew their grants.
 const RENEWAL: Duration = Duration::from_millis(1_500);
-/// Users' bound from a change of the configuration to its effect.
-const IN_FORCE: Duration = Duration::from_secs(3);
+/// Required maximum time from a change of the configuration to its effect.
+const IN_FORCE_MAX: Duration = Duration::from_secs(3);
 
-/// The configuration with a route that others do not have.
+/// The configuration with an additional route.
 fn with_route(version: u64, prefix: &str) -> Value {
-    let mut config = config(version, PLENTY);
+    let mut config = config(version, AMPLE_BUDGET);
     let mut route = config["routes"][1].clone();
     route["name"] = json!(prefix);
     route["pathPrefix"] = json!(prefix);
@@ -42,7 +41,7 @@
     status_of(gateway.front, path).await
 }
 
-/// Sends a stream; whether it was served.
+/// Sends a stream; returns whether it was served.
 async fn stream(front: SocketAddr) -> bool {
     let id = format!("s{}", rand::random::<u64>());
     let request = Ask::talk(&id, "/talk/x", PROMPT, 50);
@@ -50,7 +49,7 @@
     answer.is_some_and(|answer| answer.status == 200)
 }
 
-/// Sends streams for a while, some at once.
+/// Sends streams for a time span, several concurrently.
 async fn load(gateway: &Gateway, span: Duration) {
     let (front, end) = (gateway.front, Instant::now() + span);
     let caller = || async move {
@@ -62,12 +61,12 @@
     futures::future::join_all((0..CALLERS).map(|_| caller())).await;
 }
 
-/// Whether every gateway answers a path with a status within the users' bound from `begun`.
+/// The gateways that do not answer a path with the wanted status within [`IN_FORCE_MAX`] from `begun`.
 async fn late(deployment: &Deployment, begun: Instant, path: &str, wanted: u16) -> Vec<String> {
     let mut late = Vec::new();
     for gateway in &deployment.gateways {
         while status(gateway, path).await != Some(wanted) {
-            if begun.elapsed() > IN_FORCE {
+            if begun.elapsed() > IN_FORCE_MAX {
                 late.push(gateway.name.clone());
                 break;
             }
@@ -77,16 +76,16 @@
     late
 }
 
-/// A router whose own row went back below what it has spent stopped following configurations.
+/// Guards against a router that stops following configurations after its own row was reset below what it has spent.
 #[tokio::test(flavor = "multi_thread")]
 async fn own_row_back() {
     let (app, engine) = (Runner::start("i-app").await, Runner::start("i-e").await);
     let runners = [("app", &app), ("engine", &engine)];
     let flags = ["--partitions", "1", "--horizon", "16000", "--spread", "0"];
-    let deployment = Deployment::start_with(1, &config(1, PLENTY), &runners, &flags).await;
+    let deployment = Deployment::start_with(1, &config(1, AMPLE_BUDGET), &runners, &flags).await;
     let gateway = &deployment.gateways[0];
     until(|| stream(gateway.front)).await;
-    // Some streams are under way at any time.
+    // Some streams are in progress at any time.
     engine.set(Mode::Slow(100));
     let copy = deployment.store.copy();
     load(gateway, RENEWAL).await;
@@ -107,11 +106,11 @@
     );
 }
 
-/// A change whose offset had been given out before was passed over.
+/// Guards against skipping a change whose offset had been used before the restore.
 #[tokio::test(flavor = "multi_thread")]
 async fn offset_given_again() {
     let app = Runner::start("i-app").await;
-    let deployment = Deployment::start(3, &config(1, PLENTY), &[("app", &app)]).await;
+    let deployment = Deployment::start(3, &config(1, AMPLE_BUDGET), &[("app", &app)]).await;
     let copy = deployment.store.copy();
     deployment
         .store
@@ -121,17 +120,19 @@
     }
     deployment.store.restore(&copy);
     let begun = Instant::now();
-    deployment
-        .store
-        .put("keyed.op", "config", Some(&config_without_key(3, PLENTY)));
+    deployment.store.put(
+        "keyed.op",
+        "config",
+        Some(&config_without_key(3, AMPLE_BUDGET)),
+    );
     let late = late(&deployment, begun, "/often/x", 401).await;
     assert!(
         late.is_empty(),
-        "{late:?} still serve a key that was taken away"
+        "{late:?} still serve a key that was removed"
     );
 }
 
-/// Spends what can be spent, at all gateways in turn.
+/// Spends what can be spent, at each gateway in turn.
 async fn spend(deployment: &Deployment, tries: usize) {
     for number in 0..tries {
         let gateway = &deployment.gateways[number % deployment.gateways.len()];
@@ -139,26 +140,26 @@
     }
 }
 
-/// How the routers fare while the store is away.
+/// Which routers are killed while the store is unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Fate {
-    /// All live.
-    Live,
-    /// One is killed and started again.
-    OneKilled,
-    /// All are.
-    AllKilled,
+enum Killed {
+    /// None.
+    None,
+    /// One is killed and restarted.
+    One,
+    /// All are killed and restarted.
+    All,
 }
 
-/// Spends a part of a budget, has the store come back from a copy of before that, and spends all that is left; what
-/// was spent in all.
-async fn spent_over_return(fate: Fate) -> u64 {
+/// Spends a part of a budget, restores the store from a copy made before that, and spends all that is left; returns the
+/// total spent.
+async fn spent_across_restore(kill: Killed) -> u64 {
     let engine = Runner::start("i-e").await;
     let runners = [("engine", &engine)];
     let flags = ["--partitions", "1", "--copy-age", "4000"];
     let mut deployment = Deployment::start_with(3, &config(1, PREPAID), &runners, &flags).await;
     deployment.wait_acquainted().await;
-    // The first rows are spent from once no copy can lack them.
+    // Tokens of the first rows can be spent once every copy has those rows.
     until(|| stream(deployment.gateways[0].front)).await;
     spend(&deployment, 15).await;
     let copy = deployment.store.copy();
@@ -168,10 +169,10 @@
     for gateway in &deployment.gateways {
         deployment.store.set_fault(gateway.store, Fault::Silent);
     }
-    let killed = match fate {
-        Fate::Live => 0,
-        Fate::OneKilled => 1,
-        Fate::AllKilled => deployment.gateways.len(),
+    let killed = match kill {
+        Killed::None => 0,
+        Killed::One => 1,
+        Killed::All => deployment.gateways.len(),
     };
     for gateway in &mut deployment.gateways[..killed] {
         gateway.kill();
@@ -192,34 +193,34 @@
         }
     }
     assert!(
-        fate != Fate::Live || engine.runs() > before,
+        kill != Killed::None || engine.runs() > before,
         "what is left can be spent"
     );
-    engine.runs() as u64 * EACH
+    engine.runs() as u64 * STREAM_COST
 }
 
-/// Routers that live were granted again what others of them had spent since the copy.
+/// Guards against granting surviving routers again what others of them have spent since the copy.
 #[tokio::test(flavor = "multi_thread")]
-async fn budget_of_the_living() {
-    let spent = spent_over_return(Fate::Live).await;
+async fn budget_of_surviving_routers() {
+    let spent = spent_across_restore(Killed::None).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
 }
 
-/// A router that was killed was granted again what it had spent since the copy.
+/// Guards against granting a killed router again what it had spent since the copy.
 #[tokio::test(flavor = "multi_thread")]
 async fn budget_of_one_killed() {
-    let spent = spent_over_return(Fate::OneKilled).await;
+    let spent = spent_across_restore(Killed::One).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
 }
 
-/// What was spent since the copy was known to nobody.
+/// Guards against granting tokens again that were spent since the copy when no surviving process knows of it.
 #[tokio::test(flavor = "multi_thread")]
 async fn budget_of_all_killed() {
-    let spent = spent_over_return(Fate::AllKilled).await;
+    let spent = spent_across_restore(Killed::All).await;
     assert!(spent <= PREPAID, "{spent} of {PREPAID}");
 }
 
-/// Requests that reached a runner while these gateways were asked for a while.
+/// The number of requests that reach a runner while each gateway is sent requests for a time span.
 async fn arrivals_meanwhile(deployment: &Deployment, runner: &Runner, span: Duration) -> usize {
     let before = runner.arrivals().len();
     let end = Instant::now() + span;
@@ -231,28 +232,28 @@
     runner.arrivals().len() - before
 }
 
-/// Asks each gateway until its requests reach a runner.
+/// Sends requests to each gateway until they reach a runner.
 async fn until_used(deployment: &Deployment, runner: &Runner) {
     for gateway in &deployment.gateways {
         until_reached(gateway.front, runner).await;
     }
 }
 
-/// Longer than any router reads the newest records anew.
+/// Longer than any router takes to read the newest records again.
 const READ_ANEW: Duration = Duration::from_millis(1_200);
-/// Within which others write again what the copy lacks.
+/// Time within which other routers write again what the copy lacks.
 const WRITTEN_AGAIN: Duration = Duration::from_millis(500);
 
 async fn two_runners() -> (Deployment, Runner, Runner) {
     let (first, second) = (Runner::start("i-1").await, Runner::start("i-2").await);
     let runners = [("app", &first), ("app", &second)];
-    let deployment = Deployment::start(3, &config(1, PLENTY), &runners).await;
+    let deployment = Deployment::start(3, &config(1, AMPLE_BUDGET), &runners).await;
     until_used(&deployment, &first).await;
     until_used(&deployment, &second).await;
     (deployment, first, second)
 }
 
-/// A target that was known to leave was used again, since the copy has it ready.
+/// Guards against using a target again that was known to be leaving, because the copy lists it as ready.
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_target_ready_in_copy() {
     let (deployment, leaving, other) = two_runners().await;
@@ -272,7 +273,7 @@
     assert!(arrivals_meanwhile(&deployment, &other, WRITTEN_AGAIN).await > 0);
 }
 
-/// A target whose entry had gone was used again, since the copy has it.
+/// Guards against using a target again whose entry had been removed, because the copy still has the entry.
 #[tokio::test(flavor = "multi_thread")]
 async fn gone_target_in_copy() {
     let (deployment, gone, other) = two_runners().await;
@@ -284,15 +285,15 @@
     deployment.store.restore(&copy);
     assert_eq!(arrivals_meanwhile(&deployment, &gone, READ_ANEW).await, 0);
     assert!(arrivals_meanwhile(&deployment, &other, WRITTEN_AGAIN).await > 0);
-    // It lives after all, and says so.
+    // The target is alive after all, and lists itself again.
     list(&deployment.store, "app", &gone, "ready");
     until_used(&deployment, &gone).await;
 }
 
-/// A target that the copy lacks is used on, where there is no other.
+/// A target that the copy lacks stays in use if there is no other.
 #[tokio::test(flavor = "multi_thread")]
 async fn target_copy_lacks() {
-    let deployment = Deployment::start(3, &config(1, PLENTY), &[]).await;
+    let deployment = Deployment::start(3, &config(1, AMPLE_BUDGET), &[]).await;
     let copy = deployment.store.copy();
     let only = Runner::start("i-1").await;
     list(&deployment.store, "app", &only, "ready");
@@ -308,18 +309,18 @@
     until_used(&deployment, &only).await;
 }
 
-/// Targets of an emptied hall were used until operators had written it again.
+/// Guards against using the targets of an evacuated hall until operators have written the evacuation again.
 #[tokio::test(flavor = "multi_thread")]
-async fn emptied_hall_not_in_copy() {
+async fn evacuated_hall_not_in_copy() {
     let (deployment, first, second) = two_runners().await;
     let copy = deployment.store.copy();
-    let empty = || {
+    let evacuate = || {
         let state = json!({});
         deployment
             .store
             .put("keyed.op", "evacuate/hall", Some(&state));
     };
-    empty();
+    evacuate();
     sleep(READ_ANEW).await;
     deployment.store.restore(&copy);
     for runner in [&first, &second] {
@@ -328,7 +329,7 @@
             0
         );
     }
-    empty();
+    evacuate();
     sleep(READ_ANEW).await;
     deployment.store.put("keyed.op", "evacuate/hall", None);
     until_used(&deployment, &first).await;
