--- a/tests/store_restored.rs
+++ b/tests/store_restored.rs
@@ -309,7 +309,8 @@
     until_used(&deployment, &only).await;
 }
 
-/// Guards against using the targets of an evacuated hall until operators have written the evacuation again.
+/// Guards against using the targets of an evacuated hall after a restore, before operators have written the evacuation
+/// again.
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_not_in_copy() {
     let (deployment, first, second) = two_runners().await;
