--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -13,7 +13,7 @@
 use tokio::time::{Instant, sleep};
 
 use super::context::Control;
-use crate::gateway::escrow::{Row, Seen};
+use crate::gateway::escrow::{Row, StoreAnswer};
 use crate::gateway::state::State;
 use crate::store::{CallError, Era, Page, Partition, Place, Record, Timeout, Topic, hedge};
 use crate::units::Millis;
@@ -188,7 +188,7 @@
             state.rows(control.now(), era, &waiting, is_here)
         }
         Purpose::GiveBack => {
-            let mut rows = control.state.borrow().last_rows(era);
+            let mut rows = control.state.borrow().final_rows(era);
             rows.retain(|(customer, _)| is_here(customer));
             rows
         }
@@ -214,8 +214,8 @@
             spent = row.spent.0,
             spent_before = row.spent_before.0,
             demand = row.demand,
-            cap = row.cap.map(|cap| cap.most.0),
-            least_cap = row.cap.map(|cap| cap.least.0),
+            cap = row.cap.map(|cap| cap.limit.0),
+            least_cap = row.cap.map(|cap| cap.lowest.0),
             offset = place.offset,
             era = place.era.0
         );
@@ -243,7 +243,7 @@
         control
             .state
             .borrow_mut()
-            .note_store(Seen { era, at: asked_at });
+            .record_store_answer(StoreAnswer { era, at: asked_at });
         apply_page(control, cursor, &page);
         cursor.next = Some(page.next);
         if page.next >= page.end {
