--- a/src/gateway/decision/admission.rs
+++ b/src/gateway/decision/admission.rs
@@ -1,5 +1,5 @@
-//! Whether a request is let in: its route, its customer, its rank and its time, and where the tokens
-//! come from that it waits for.
+//! Whether a request is admitted, with its route, customer, rank and time limit, and where to ask for tokens that it
+//! lacks.
 
 use std::time::Duration;
 
@@ -8,51 +8,51 @@
 use crate::gateway::route::{Config, Customer, Route};
 use crate::units::{Millis, Tokens};
 
-/// Ranks of routes that are told apart within one rank of customers.
+/// Number of distinct route ranks within one customer rank.
 const ROUTE_RANKS: u8 = 3;
-/// Last rank of a target's queue.
+/// Lowest priority in a target's queue.
 const RANK_MAX: u8 = 9;
 
-/// A request waits for a grant for one part in this many of its route's latency objective, so that
-/// what is granted in time can still meet it.
+/// A request waits for a grant for at most one part in this many of its route's latency objective, so that it can still
+/// meet the objective once the grant arrives.
 const GRANT_WAIT_DIVISOR: u32 = 5;
 
-/// How long tokens are not asked for that nobody had. The shortest time after which a caller
-/// comes back that was refused for lack of them.
+/// How long tokens are not requested again after none of those asked had any. Equal to the shortest retry delay of
+/// a caller that was refused because of it.
 pub const NOTHING_PAUSE: Millis = Millis(250);
 
-/// What a request shows at the door.
+/// The properties of a request that decide its admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The host that it names.
+    /// The host that it is addressed to.
     pub host: &'a str,
     /// Its path.
     pub path: &'a str,
     /// The customer's secret key.
     pub key: Option<&'a str>,
-    /// How long its caller waits.
+    /// How long its caller waits for an answer.
     pub time_limit: Option<Millis>,
 }
 
-/// On what terms a request is let in.
+/// The terms on which a request is admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms<'a> {
     /// Its route.
     pub route: &'a Route,
-    /// Whose it is.
+    /// Its customer; `None` for anonymous requests.
     pub customer: Option<&'a Customer>,
     /// Rank in a target's queue; 0 goes first.
     pub rank: u8,
     /// Longest time for its answer, from its arrival.
     pub time_limit: Millis,
-    /// Tokens that one event of its stream may stand for.
+    /// Maximum number of tokens that one event of its stream may represent.
     pub event_tokens: u64,
 }
 
-/// Decides whether a request is let in.
+/// Decides whether a request is admitted.
 ///
 /// # Errors
-/// Why it is not.
+/// The reason for refusing it.
 pub fn admit<'a>(config: &'a Config, request: &Request<'_>) -> Result<Terms<'a>, Reason> {
     let route = config.route(request.host, request.path);
     let route = route.ok_or(Reason::NoRoute)?;
@@ -76,7 +76,7 @@
     })
 }
 
-/// A customer's rank goes before that of the route.
+/// Combines the ranks of a customer and a route; the customer's takes precedence.
 fn rank(customer: Option<u8>, route: u8) -> u8 {
     let Some(customer) = customer else {
         return route.min(RANK_MAX);
@@ -86,47 +86,48 @@
     first.saturating_add(within).min(RANK_MAX)
 }
 
-/// Who pays for a request, and all that it has prepaid. Only model requests of customers with a
-/// prepaid budget are paid for.
+/// The customer that is charged for a request, and its prepaid budget. Only model requests of customers with a prepaid
+/// budget are charged.
 pub fn payer(customer: Option<&Customer>, is_model: bool) -> Option<(String, Tokens)> {
     let customer = customer.filter(|_| is_model)?;
     Some((customer.name.clone(), customer.prepaid?))
 }
 
-/// How long a request waits for a grant that its router lacks.
+/// How long a request waits for its router to be granted tokens.
 pub fn grant_wait(latency_objective: Millis) -> Duration {
     Duration::from_millis(latency_objective.0) / GRANT_WAIT_DIVISOR
 }
 
-/// What is known where a router lacks tokens for a request.
+/// What is known when a router lacks tokens for a request.
 #[derive(Clone, Copy, Debug)]
 pub struct Lack {
-    /// The router's part in keeping the customer's budget.
+    /// The router's role for the customer's budget.
     pub role: Role,
-    /// Why the request is refused if no tokens come.
+    /// Reason for refusing the request if no tokens are granted or lent.
     pub refusal: Refusal,
-    /// How long ago all that were asked had none of the customer's, where nothing has changed since.
+    /// Time since all that were asked had none of the customer's tokens; `None` if there was no such answer or
+    /// something has changed since.
     pub nothing_for: Option<Millis>,
 }
 
-/// Where the tokens come from that a waiting request lacks.
+/// Where to ask for the tokens that a waiting request lacks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The store grants them: one write, and no other router has to answer.
+    /// The store, which grants them by one write, without involving other routers.
     Store,
-    /// Other routers lend them, and the store is asked for what they do not.
+    /// Other routers, which lend them; the store is asked for the rest.
     Peers,
-    /// Nobody: all were asked a moment ago, and little is left of the budget.
+    /// None: all were asked a moment ago, and little is left of the budget.
     Nobody,
 }
 
-/// Decides where tokens are asked for first. A holder of the customer's grants asks the store; a
-/// borrower asks the holders, and so does everybody while the store does not answer. Where much is left of
-/// the budget, a grant may come at any time, so it is asked for even if nobody has just had any.
+/// Decides where to ask for tokens first. A holder of the customer's grants asks the store. A borrower asks the
+/// holders, as does every router while the store does not answer. While much is left of the budget, tokens may become
+/// available at any time, so they are requested even if nobody had any a moment ago.
 pub fn grant_source(lack: &Lack) -> Source {
-    let is_told = lack.nothing_for.is_some_and(|ago| ago < NOTHING_PAUSE);
+    let just_asked = lack.nothing_for.is_some_and(|ago| ago < NOTHING_PAUSE);
     match (lack.refusal, lack.role) {
-        (Refusal::Scarce, _) if is_told => Source::Nobody,
+        (Refusal::Scarce, _) if just_asked => Source::Nobody,
         (Refusal::CutOff, _) | (_, Role::Borrower) => Source::Peers,
         (_, Role::Holder) => Source::Store,
     }
--- a/src/gateway/decision/limit.rs
+++ b/src/gateway/decision/limit.rs
@@ -1,113 +1,117 @@
-//! How much of a target's own rate limit a router may use, and when.
+//! How much of a target's advertised rate limit a router may use, and when.
 //!
-//! The limit holds for all routers together. Its requests are dealt out to routers in a [`share`](super::share); each
-//! sends its part at even distances, and routers begin one after the other, so that the target gets them spread out and
-//! not all at the span's begin. Weighed against that: an even part for each router, which large fleets cannot use; a
-//! budget that routers lend each other, which costs a request the way to another router and is not known in a cut; and
-//! sending whole customers to one target, which leaves it unused when they have nothing to ask.
+//! The limit applies to all routers together. Its requests are allocated to routers by [`share`](super::share). Each
+//! router paces its quota evenly, and the routers' first requests are staggered, so that the target does not get them
+//! all at the start of a window. Rejected alternatives: an equal share for each router, which is less than one request
+//! in large fleets; a budget that routers lend each other, which adds a round trip to another router to a request and
+//! is unknown during a network partition; and pinning whole customers to one target, which leaves the target idle when
+//! they send nothing.
 
 use super::share::Draw;
 use crate::gateway::notice::Rate;
 use crate::units::Millis;
 
-/// The span in which requests are dealt out. Users count what a target gets in spans of this length.
-const SPAN: Millis = Millis(4_000);
-/// Longest span, of which each has one request: what a target that takes less often gets, so that a limit that is over
-/// is noticed.
-const SPAN_MAX: Millis = Millis(10_000);
-/// Part of a limit that is dealt out, 0 to 1, and requests of each span beside it, as long as the sum is within the
-/// limit. Users bear one and a half times the limit and five requests a span: so much may be dealt out twice, by
-/// routers that do not see each other.
-const DEALT: f64 = 0.75;
-const DEALT_BESIDE: f64 = 2.0;
+/// The window in which requests are allocated. Compliance with a limit is counted in windows of this length.
+const WINDOW: Millis = Millis(4_000);
+/// Longest window. A target with a lower limit still gets one request in each, since only its answer shows that the
+/// limit has ended.
+const WINDOW_MAX: Millis = Millis(10_000);
+/// Share of a limit that is allocated, 0 to 1. Together with [`ALLOCATED_EXTRA`] it is never more than the limit.
+/// Up to one and a half times the limit and five requests in a window are acceptable, which leaves room for two groups
+/// of routers that do not see each other to allocate this much twice.
+const ALLOCATED_SHARE: f64 = 0.75;
+/// Requests allocated in each window in addition to the share.
+const ALLOCATED_EXTRA: f64 = 2.0;
 
-/// By how much a request that was sent late lets the next one be early: routers have no request at hand just when one
-/// is due.
+/// How far ahead of schedule a request may be sent after a late one: a router seldom has a request ready at the moment
+/// one is due.
 const CATCH_UP: Millis = Millis(100);
 
-/// A router's part of a target's limit.
+/// A router's share of a target's limit, as a schedule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Part {
+struct Schedule {
     /// Least time between two requests.
     interval: Millis,
     /// Least time from when the limit became known to the first request.
     first: Millis,
 }
 
-/// What decides whether one more request may be sent to a target that has a limit.
+/// The inputs that decide whether one more request may be sent to a target with a rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
     /// The limit.
     pub limit: Rate,
-    /// Since when it is known to this router.
+    /// When this router learned of it.
     pub since: Millis,
-    /// The last request that this router has sent there under the limit.
+    /// The last request that this router sent to the target under the limit.
     pub last: Option<Sent>,
-    /// Routers of the fleet.
+    /// Number of routers in the fleet.
     pub routers: usize,
-    /// This router's place in the order of routers for the target, where it has one.
+    /// This router's position in the target's order of routers; `None` if it has none yet.
     pub place: Option<usize>,
 }
 
 /// A request that was sent under a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// When.
+    /// When it was sent.
     pub at: Millis,
     /// When the next one is due.
     pub next: Millis,
 }
 
-/// Requests that all routers together may send in a span.
-fn dealt(limit: Rate) -> (usize, Millis) {
-    let taken = limit.per_second() * SPAN.0 as f64 / 1_000.0;
-    let whole = (taken * DEALT + DEALT_BESIDE).min(taken).floor();
+/// Requests that all routers together may send in a window, and the window's length.
+fn allocated(limit: Rate) -> (usize, Millis) {
+    let allowed = limit.per_second() * WINDOW.0 as f64 / 1_000.0;
+    let whole = (allowed * ALLOCATED_SHARE + ALLOCATED_EXTRA)
+        .min(allowed)
+        .floor();
     if whole >= 1.0 {
-        return (whole as usize, SPAN);
+        return (whole as usize, WINDOW);
     }
-    let span = Millis((1_000.0 / limit.per_second()) as u64);
-    (1, span.clamp(SPAN, SPAN_MAX))
+    let window = Millis((1_000.0 / limit.per_second()) as u64);
+    (1, window.clamp(WINDOW, WINDOW_MAX))
 }
 
-/// The part of the router in this place of the order, if it has one.
-fn part(limit: Rate, routers: usize, place: usize) -> Option<Part> {
-    let (requests, span) = dealt(limit);
+/// The schedule of the router at this position of the order, if any requests are allocated to it.
+fn schedule(limit: Rate, routers: usize, place: usize) -> Option<Schedule> {
+    let (requests, window) = allocated(limit);
     let draw = Draw::new(requests, routers);
     let own = draw.part(place) as u64;
     if own == 0 {
         return None;
     }
-    // Catching up may bring two requests nearer to each other; a span has no more than the part all the same.
-    let interval = (span + CATCH_UP).0.div_ceil(own);
+    // Catching up may shorten the time between two requests; the quota of a window still holds.
+    let interval = (window + CATCH_UP).0.div_ceil(own);
     let first = interval * place as u64 / draw.routers as u64;
-    Some(Part {
+    Some(Schedule {
         interval: Millis(interval),
         first: Millis(first),
     })
 }
 
-/// When this router may send there next; `None` where others use all of the limit.
+/// When this router may next send to the target; `None` if the whole limit is allocated to other routers.
 pub fn next(usage: &Usage) -> Option<Millis> {
-    Some(due(usage, &own_part(usage)?))
+    Some(due(usage, &own_schedule(usage)?))
 }
 
-/// What is remembered of a request that is sent there now; `None` where this router has no part, and sends what it may
-/// not.
+/// The record of a request that is sent to the target now; `None` if this router has no share of the limit, so that the
+/// request exceeds it.
 pub fn sent(now: Millis, usage: &Usage) -> Option<Sent> {
-    let part = own_part(usage)?;
-    let due = due(usage, &part).max(now.saturating_sub(CATCH_UP));
-    let next = due + part.interval;
+    let schedule = own_schedule(usage)?;
+    let due = due(usage, &schedule).max(now.saturating_sub(CATCH_UP));
+    let next = due + schedule.interval;
     Some(Sent { at: now, next })
 }
 
-fn own_part(usage: &Usage) -> Option<Part> {
-    part(usage.limit, usage.routers, usage.place?)
+fn own_schedule(usage: &Usage) -> Option<Schedule> {
+    schedule(usage.limit, usage.routers, usage.place?)
 }
 
-fn due(usage: &Usage, part: &Part) -> Millis {
+fn due(usage: &Usage, schedule: &Schedule) -> Millis {
     match usage.last {
-        // A limit that has risen since then leaves less time between two requests.
-        Some(last) => last.next.min(last.at + part.interval),
-        None => usage.since + part.first,
+        // If the limit has risen since then, the interval is shorter than the one that `next` was computed with.
+        Some(last) => last.next.min(last.at + schedule.interval),
+        None => usage.since + schedule.first,
     }
 }
--- a/src/gateway/decision/mod.rs
+++ b/src/gateway/decision/mod.rs
@@ -1,9 +1,8 @@
-//! The rules that decide what becomes of a request, one module each.
+//! The rules that decide how a request is handled, one module each.
 //!
-//! Each rule is a pure function: it takes its inputs as a typed value and returns an outcome that
-//! says why. It owns no state and reads no clock. The constants that it weighs with stand beside it,
-//! with their unit. Callers act on the outcome and do not decide
-//! again. Ejection, which both kinds of router share, is [`crate::ejection`].
+//! Each rule is a pure function: it takes its inputs as a typed value and returns an outcome that includes the reason.
+//! It holds no state and reads no clock. The constants of a rule stand beside it, with their unit. Callers act on the
+//! outcome and do not decide again. Ejection, which both kinds of router share, is in [`crate::ejection`].
 
 pub mod admission;
 pub mod cold;
--- a/src/gateway/decision/quarantine.rs
+++ b/src/gateway/decision/quarantine.rs
@@ -1,59 +1,61 @@
-//! Whether a request is the cause of the crashes that it was beside, so that it is not sent any more.
+//! Whether a request is the cause of the target crashes that it was involved in, and must not be sent again.
 //!
-//! A target that crashes takes all requests with it on which it works, so one crash says next to nothing of any
-//! of them. What is held against a request are crashes one after the other: it was sent to another target only
-//! after the last one had crashed, and that crashed as well. A rack that fails, a cut or reset connections hit
-//! all that is under way once, and so count once. A request that was answered well anywhere is not the cause;
-//! that is the business of [`Quarantine`](crate::gateway::quarantine::Quarantine), which forgets its crashes.
+//! A target that crashes fails all requests that it is processing, so a single crash says almost nothing about any one
+//! of them. Only successive crashes count: the request was sent to another target after the previous one had crashed,
+//! and that target crashed as well. A failed rack, a network partition or reset connections affect everything in flight
+//! once, and so count once. A request that any target has answered successfully is not the cause;
+//! [`Quarantine`](crate::gateway::quarantine::Quarantine) handles that case and drops the crashes of such a request.
 
 use crate::units::Millis;
 
-/// Crashes one after the other by which a request is taken for their cause. One is any bystander's, two are a
-/// bystander's that its caller sent again at once while the cause was still coming; each more costs all who
-/// have an answer on its way at one more target.
+/// Successive crashes after which a request is taken to be their cause. One may happen to any request, and two to an
+/// innocent request whose caller retried it immediately while the cause was still being sent. Each further crash fails
+/// all requests in flight at one more target.
 pub const CRASHES_HELD: usize = 3;
-/// Crashes by which a request is held although another one was beside it at each of them. Two that always come
-/// together cannot be told apart, and targets have to be saved from both. Two more than where they can.
+/// Successive crashes after which a request is quarantined even though another request was involved in each of them.
+/// Two requests that always occur together cannot be told apart, and targets have to be protected from both. Two more
+/// than where they can be told apart.
 const CRASHES_TIED: usize = 5;
-/// By how much a request may seem to have been sent before the last crash, since times are told between routers
-/// over links that take a while. Some times the way between two regions.
+/// How long before the previous crash a request may appear to have been sent and still count as sent after it, since
+/// routers exchange these times over links with latency. A few times the one-way latency between two regions.
 const ORDER_SLACK: Millis = Millis(50);
 
-/// A target's crash beside which a request was on its way there.
+/// A crash of a target while a request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Crash {
     /// Hash of the target's instance.
     pub instance: u64,
-    /// When the request was sent there.
+    /// When the request was sent to the target.
     pub sent: Millis,
-    /// When it broke off.
+    /// When its connection broke.
     pub at: Millis,
 }
 
-/// Those of a request's crashes that came one after the other: the longest row that there is. They are given in
-/// the order of their times, and so are returned.
+/// Selects the longest sequence of successive crashes from the crashes of a request. Both input and output are ordered
+/// by time.
 pub fn row(crashes: impl IntoIterator<Item = Crash>) -> Vec<Crash> {
-    let mut row: Vec<Crash> = Vec::new();
+    let mut successive: Vec<Crash> = Vec::new();
     for crash in crashes {
         let is_next = |last: &Crash| crash.sent + ORDER_SLACK >= last.at;
-        if row.last().is_none_or(is_next) {
-            row.push(crash);
+        if successive.last().is_none_or(is_next) {
+            successive.push(crash);
         }
     }
-    row
+    successive
 }
 
-/// How many of a request's crashes came one after the other.
+/// Number of successive crashes of a request.
 pub fn in_a_row(crashes: impl IntoIterator<Item = Crash>) -> usize {
     row(crashes).len()
 }
 
-/// Whether another request, with so many crashes in a row, explains a crash that both were beside.
+/// Whether another request with `other` successive crashes explains a crash that both requests were involved in; `own`
+/// is the number of successive crashes of the request that is judged.
 pub fn is_explained(own: usize, other: usize) -> bool {
     other > own || (other == own && own < CRASHES_TIED)
 }
 
-/// Whether a request is held back that has so many crashes in a row which no other one explains.
+/// Whether a request is quarantined, given the number of its successive crashes that no other request explains.
 pub fn is_held(unexplained: usize) -> bool {
     unexplained >= CRASHES_HELD
 }
--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -1,8 +1,7 @@
-//! What a caller is told whose request gets no target's answer: the status, the word, and when to
-//! come back.
+//! The answer to a request that gets none from a target: its status, reason code and retry delay.
 //!
-//! "Not run" is said only where no attempt can have run. A time to come back goes with each refusal
-//! that a later try may not meet.
+//! A request is reported as not run only if no attempt can have run. Each refusal that a later retry may avoid has a
+//! retry delay.
 
 use http::StatusCode;
 use xxhash_rust::xxh3::xxh3_64;
@@ -11,80 +10,81 @@
 use crate::gateway::deadline::Over;
 use crate::units::{Millis, Tokens};
 
-/// Time to come back without a configuration: one comes within a read of the store.
+/// Retry delay while there is no configuration: one read of the store provides it.
 const NO_CONFIG_RETRY: Millis = Millis(300);
-/// Time to come back to another router when this one stops: any other serves at once.
+/// Retry delay while this router is stopping: any other router serves immediately.
 const STOPPING_RETRY: Millis = Millis(20);
-/// Time to come back where a router is behind with its work: what waits is done, and other routers serve at once. As
-/// long as it is judged over.
+/// Retry delay when a router is overloaded: by then it has worked off its queue, and other routers serve immediately.
+/// As long as it is judged over.
 const OVERLOADED_RETRY: Millis = Millis(200);
-/// Time to come back for a grant, which takes a write to the store or a loan.
+/// Retry delay while a grant is pending, which takes a write to the store or a loan.
 const GRANT_RETRY: Millis = Millis(250);
-/// Time to come back while the store does not answer; its outages last many seconds.
+/// Retry delay while the store does not answer; its outages last many seconds.
 const CUT_OFF_RETRY: Millis = Millis(5_000);
-/// Time to come back where no target could be reached: the list is read each half a second.
+/// Retry delay when no target could be reached: the list of targets is read every half second.
 const NO_TARGET_RETRY: Millis = Millis(250);
-/// Time to come back where all halls with targets of a service are emptied: operators do that for work of some seconds
-/// at least, and take halls back one by one.
+/// Retry delay when all halls with targets of a service are evacuated: operators evacuate halls for work that takes
+/// some seconds at least, and return them to service one by one.
 const EVACUATED_RETRY: Millis = Millis(2_000);
-/// Time to come back where targets have no room left for this router by their own word: another router may have some.
+/// Retry delay when rate limits or pauses that targets announced leave no request to this router: another router may
+/// still be allowed one.
 const BARRED_RETRY: Millis = Millis(250);
-/// Shortest time to come back after that, where it is known when a target takes a request again.
+/// Shortest retry delay in that case when it is known when a target accepts requests again.
 const BARRED_RETRY_MIN: Millis = Millis(50);
-/// Time to come back after a target's refusal, or where the retry budget is used up.
+/// Retry delay after a target's refusal, or when the retry budget is used up.
 const REFUSED_RETRY: Millis = Millis(100);
 
-/// Time to come back where little is left of a budget: only a request under way that costs less than was
-/// reserved frees any of it, and an operator adds to it. Longer than nearly all callers wait.
+/// Retry delay when little is left of a prepaid budget: tokens only become available when a request in flight costs
+/// less than was reserved for it, or when an operator adds some. Longer than nearly all callers wait.
 const SCARCE_RETRY: Millis = Millis(30_000);
-/// Longest time to come back for what is late, which may come at any time.
-const LATE_RETRY_MAX: Millis = Millis(60_000);
+/// Longest retry delay while waiting for a configuration or the store, which may become available at any time.
+const OUTAGE_RETRY_MAX: Millis = Millis(60_000);
 
-/// A budget is scarce where what is left of it pays for fewer requests of this cost than that: it is spread
-/// over routers and requests under way, so a request of this cost is hardly ever paid for soon.
+/// A budget is scarce if what is left of it pays for fewer requests of the same cost than this: what is left is spread
+/// over routers and requests in flight, so a request of this cost can seldom be paid for soon.
 const SCARCE_REQUESTS: u64 = 16;
 
-/// Why the control state does not let a request run.
+/// Why the control state refuses a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No target takes requests.
+    /// No target accepts requests.
     NoTarget,
-    /// The operators have emptied all halls that have targets.
+    /// Operators have evacuated all halls that have targets.
     Evacuated,
     /// The retry budget is used up.
     NoRepeats,
-    /// What is left of the prepaid budget does not cover it.
+    /// What is left of the prepaid budget does not cover the request.
     Exhausted,
-    /// This router's part of the budget does not cover it, and no more came in time.
+    /// This router's share of the budget does not cover the request, and no more tokens were granted or lent in time.
     Short,
-    /// The same, and little is left of the whole budget.
+    /// This router's share does not cover the request, and little is left of the whole budget.
     Scarce,
-    /// This router's part does not cover it, while the store does not answer.
+    /// This router's share does not cover the request, and the store does not answer.
     CutOff,
-    /// No target takes a request of this router now by the targets' own word.
+    /// Rate limits or pauses that the targets announced leave no request to this router for now.
     Barred {
-        /// When one does again, where that is known.
+        /// Time until a target accepts requests again, if known.
         left: Option<Millis>,
     },
-    /// Targets crashed under it one after the other, so it is sent to none.
+    /// Targets crashed in succession while they ran the request, so it is not sent to any.
     Quarantined {
-        /// How long that holds.
+        /// How much longer the quarantine lasts.
         left: Millis,
     },
 }
 
-/// What is known when tokens did not come that a request waited for.
+/// What is known when a request has waited in vain for tokens.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortage {
-    /// The most that the request may cost.
+    /// Maximum cost of the request.
     pub cost: Tokens,
-    /// Tokens of the prepaid budget that nobody is known to have spent.
+    /// Tokens of the prepaid budget that are not known to be spent.
     pub left: Tokens,
     /// Whether the store answers.
     pub store_answers: bool,
 }
 
-/// Decides why a request is refused whose tokens did not come.
+/// Decides the reason for refusing a request that has waited in vain for tokens.
 pub fn shortage(shortage: &Shortage) -> Refusal {
     if !shortage.store_answers {
         Refusal::CutOff
@@ -95,23 +95,23 @@
     }
 }
 
-/// What is known when a caller is told when to come back.
+/// The inputs of a retry delay.
 #[derive(Clone, Copy, Debug)]
 pub struct Outlook<'a> {
     /// The request's id.
     pub id: &'a str,
-    /// How long the store has not answered, where it does not.
+    /// How long the store has not answered; `None` if it answers.
     pub store_lost: Option<Millis>,
-    /// How long the process has run.
+    /// Uptime of the process.
     pub running: Millis,
 }
 
-/// Why a caller gets no target's answer.
+/// Why a caller gets no answer from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// A header cannot be read.
     BadHeader,
-    /// The body did not arrive complete.
+    /// The body did not arrive completely.
     BadBody,
     /// The body is longer than the configuration allows.
     TooLong,
@@ -123,32 +123,32 @@
     NoKey,
     /// This router is stopping, and would not finish the request.
     Stopping,
-    /// This router is behind with its work, and would answer late.
+    /// This router is overloaded and would answer late.
     Overloaded,
     /// The control state refused it.
     Refused(Refusal),
-    /// The target refused it, and has not run it.
+    /// The target refused the request and has not run it.
     TargetRefused,
     /// No target could be reached.
     Unreachable,
-    /// The caller's time was over before anything was sent.
+    /// The request's deadline passed before anything was sent.
     Late,
-    /// It was sent and broke off; it may have run.
+    /// The connection or the answer broke off after the request was sent; it may have run.
     BrokenOff,
-    /// It was sent and the caller's time was over; it may have run.
+    /// The request's deadline passed after it was sent; it may have run.
     TimedOut,
-    /// It was sent and this router, which is stopping, waited no longer; it may have run.
+    /// This router is stopping and gave up on the request after it was sent; it may have run.
     Cut,
 }
 
 impl Reason {
-    /// What is told of a request whose time was over before anything was sent.
+    /// The reason for a request whose time was over before anything was sent.
     pub(in crate::gateway) fn before(over: Over) -> Self {
         Self::of(Failure::before(over), Verdict::NotRun)
     }
 
-    /// What is told of a request that is given up after a failed attempt. `verdict` covers all of its
-    /// attempts: once one may have run, no later failure says that none has.
+    /// The reason for a request that is given up after a failed attempt. `verdict` covers all of its attempts: once one
+    /// may have run, no later failure reports the request as not run.
     pub fn of(failure: Failure, verdict: Verdict) -> Self {
         match (failure, verdict) {
             (Failure::TimedOut, _) => Self::TimedOut,
@@ -175,7 +175,7 @@
         }
     }
 
-    /// The status of the answer.
+    /// The HTTP status of the answer.
     pub fn status(self) -> StatusCode {
         match self {
             Self::BadHeader | Self::BadBody => StatusCode::BAD_REQUEST,
@@ -195,21 +195,21 @@
         }
     }
 
-    /// When to come back, where it has not run and a later try may. Callers are spread by their requests'
-    /// ids over as long again as the shortest time, so that those refused together do not return together.
+    /// The retry delay, if the request has not run and a later retry may succeed. Jitter derived from the request's id
+    /// adds up to the shortest delay again, so that callers refused together do not retry together.
     pub fn retry_after(self, outlook: &Outlook<'_>) -> Option<Millis> {
         let shortest = match (self, outlook.store_lost) {
-            // What is late is as late again, where no more is known of it.
-            (Self::NoConfig, None) => outlook.running.clamp(NO_CONFIG_RETRY, LATE_RETRY_MAX),
+            // Without more information, an outage is assumed to last as long again as it already has.
+            (Self::NoConfig, None) => outlook.running.clamp(NO_CONFIG_RETRY, OUTAGE_RETRY_MAX),
             (Self::NoConfig | Self::Refused(Refusal::CutOff), Some(lost)) => {
-                lost.clamp(CUT_OFF_RETRY, LATE_RETRY_MAX)
+                lost.clamp(CUT_OFF_RETRY, OUTAGE_RETRY_MAX)
             }
             _ => self.shortest_retry()?,
         };
-        Some(spread(shortest, outlook.id))
+        Some(with_jitter(shortest, outlook.id))
     }
 
-    /// The shortest time to come back, by the reason alone.
+    /// The shortest retry delay for this reason.
     pub fn shortest_retry(self) -> Option<Millis> {
         match self {
             Self::NoConfig => Some(NO_CONFIG_RETRY),
@@ -238,7 +238,7 @@
         }
     }
 
-    /// Its word in answers and logs.
+    /// The reason code in answers and logs.
     pub fn word(self) -> &'static str {
         match self {
             Self::BadHeader => "bad_header",
@@ -268,7 +268,7 @@
     }
 }
 
-/// A time from `shortest` to twice that, the same for an id each time.
-fn spread(shortest: Millis, id: &str) -> Millis {
+/// A delay from `shortest` to twice that, always the same for the same id.
+fn with_jitter(shortest: Millis, id: &str) -> Millis {
     shortest + Millis(xxh3_64(id.as_bytes()) % (shortest.0 + 1))
 }
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -1,9 +1,8 @@
-//! Whether a request is sent again after an attempt that brought no answer to pass on, and whether a
-//! stream that broke off is resumed.
+//! Whether a request is retried after an attempt without an answer to forward, and whether a broken stream is resumed.
 //!
-//! Three limits hold together: the request's own ([`decide`]), the attempts of its route, and the
-//! retry budget of the whole fleet ([`Budget`]). A request that may have run is sent again only where
-//! its route says that running it twice does no harm; a resumed stream counts as such a repeat.
+//! Three limits apply together: the request's own ([`decide`]), its route's maximum number of attempts, and the retry
+//! budget of the whole fleet ([`Budget`]). A request that may have run is retried only if its route declares that
+//! running it twice is harmless. Resuming a stream counts as such a retry.
 
 use std::collections::VecDeque;
 
@@ -12,59 +11,59 @@
 use crate::gateway::route::Kind;
 use crate::units::Millis;
 
-/// Attempts without a connection before a request is given up. They never reached a target, so they
-/// do not count against the route's attempts. Three targets that refuse connections in a
-/// row mean that more is wrong than one target.
+/// Failed connection attempts before a request is given up. They never reached a target, so they do not count against
+/// the route's maximum number of attempts. If three targets in a row refuse connections, the fault is not in one
+/// target.
 const UNREACHED_MAX: u32 = 3;
 
-/// Part of its retry budget that a router uses, 0 to 1. Targets count the window from the arrival of
-/// an attempt, which is later than here, so two windows can overlap.
-const BUDGET_USED: f64 = 0.7;
+/// Share of its retry budget that a router uses, 0 to 1. Targets count an attempt when it arrives, which is later than
+/// when the router counts it, so retries of two of the router's windows can fall into one window of a target.
+const BUDGET_SHARE: f64 = 0.7;
 
-/// How an attempt ended that brought no answer to pass on.
+/// How an attempt failed that produced no answer to forward.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// No connection came up; nothing was sent.
+    /// The connection could not be established; nothing was sent.
     Unreachable,
-    /// An idle connection had been closed by the target before anything was sent on it.
+    /// The target had closed the idle connection before anything was sent on it.
     IdleClosed,
-    /// The caller's time was over before anything was sent.
+    /// The request's deadline passed before anything was sent.
     Late,
-    /// The process is stopping and waited no longer before anything was sent.
+    /// The process is stopping and gave up on the request before anything was sent.
     Stopping,
-    /// The target's instance or the customer cannot be written in a header; nothing was sent.
+    /// The target's instance or the customer cannot be encoded as a header value; nothing was sent.
     Unwritable,
-    /// The target says that it has not run the request.
+    /// The target reports that it has not run the request.
     Refused,
-    /// The same, and it wants nothing from this router for some time.
+    /// The target reports that it has not run the request, and asks this router to send nothing for some time.
     AskedRest,
-    /// Another instance has the target's address, and has not run the request.
+    /// Another instance now has the target's address, and has not run the request.
     WrongInstance,
     /// The connection or the answer broke off.
     BrokenOff,
-    /// The caller's time was over while the target worked.
+    /// The request's deadline passed while the target was processing it.
     TimedOut,
-    /// The process is stopping and waited no longer while the target worked.
+    /// The process is stopping and gave up on the request while the target was processing it.
     Cut,
-    /// The target answered with a failure of its own, which can be passed on if there is no retry.
+    /// The target answered with a server error, which can be forwarded if there is no retry.
     ServerError,
 }
 
-/// Whether the target may have run what was sent in an attempt.
+/// Whether the target may have run the request of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// It has not run and never will.
     NotRun,
-    /// It may have run, or may still run.
+    /// It may have run, or may run later.
     MayHaveRun,
 }
 
-/// Whether a retry is taken out of the retry budget.
+/// Whether a retry is charged to the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Charge {
-    /// The failed attempt reached a target, or may have.
+    /// It is charged, since the failed attempt reached a target or may have.
     Budget,
-    /// It reached none.
+    /// It is free, since the failed attempt reached no target.
     Free,
 }
 
@@ -100,7 +99,7 @@
         }
     }
 
-    /// How the target is judged by it; `None` where it says nothing about the target.
+    /// The outcome that counts towards the target's ejection; `None` if the failure says nothing about the target.
     pub fn outcome(self) -> Option<Outcome> {
         match self {
             Self::Unreachable
@@ -113,13 +112,13 @@
             | Self::Stopping
             | Self::Unwritable
             | Self::WrongInstance
-            // What it asked for is kept; it has not failed.
+            // The target has not failed; the pause that it asked for is kept.
             | Self::AskedRest
             | Self::Cut => None,
         }
     }
 
-    /// Whether a retry after it is charged to the retry budget.
+    /// Whether a retry after this failure is charged to the retry budget.
     pub fn charge(self) -> Charge {
         match self {
             Self::Unreachable
@@ -138,27 +137,27 @@
     }
 }
 
-/// What a request has behind it when an attempt has failed, the failed one included.
+/// The attempts of a request so far, including the one that has just failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct History {
-    /// What its route says of repeats.
+    /// The kind of its route, which says whether it may run twice.
     pub kind: Kind,
-    /// Attempts that its route allows.
+    /// Maximum number of attempts of its route.
     pub attempts_max: u32,
     /// Attempts that were sent to a target.
     pub sent: u32,
     /// Attempts that reached no target.
     pub unreached: u32,
-    /// Whether its time is over: its caller's, or that of a stop.
+    /// Whether its deadline or that of a shutdown has passed.
     pub is_expired: bool,
 }
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Another target is tried, if there is one and the retry budget allows it.
+    /// Try another target, if there is one and the retry budget allows it.
     Retry,
-    /// The request is not sent again.
+    /// Do not send the request again.
     GiveUp(Limit),
 }
 
@@ -167,16 +166,16 @@
 pub enum Limit {
     /// It may have run, and its route does not allow it to run twice.
     NotRepeatable,
-    /// All attempts of its route were sent.
+    /// The maximum number of attempts of its route was sent.
     Attempts,
-    /// [`UNREACHED_MAX`] targets in a row could not be connected to.
+    /// Connections to [`UNREACHED_MAX`] targets in a row failed.
     Unreached,
     /// Its time is over.
     Time,
 }
 
 impl Limit {
-    /// Its word in logs.
+    /// Its name in logs.
     pub fn word(self) -> &'static str {
         match self {
             Self::NotRepeatable => "not_repeatable",
@@ -187,7 +186,7 @@
     }
 }
 
-/// Decides what follows a failed attempt.
+/// Decides what to do after a failed attempt.
 pub fn decide(failure: Failure, history: &History) -> Decision {
     let may_repeat = match failure {
         // The answer at hand is better than a stream's second start.
@@ -209,20 +208,20 @@
     }
 }
 
-/// The fleet's bound on retries of one service.
+/// The limit on the whole fleet's retries to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bound {
-    /// Retries for each request of the window.
+    /// Retries allowed per request in the window.
     pub ratio: f64,
     /// Length of the sliding window.
     pub window: Millis,
-    /// Retries in each window beside those, over all routers together.
+    /// Retries allowed in each window in addition, over all routers together.
     pub extra: f64,
 }
 
-/// A router's part of the retry budget of one service. Each router keeps to the ratio of its own
-/// requests and to an equal part of the extra, so that all together keep the bound in every window
-/// without asking each other.
+/// A router's share of the retry budget of one service. Each router observes the ratio for its own requests and uses an
+/// equal share of the extra retries, so that all routers together stay within the bound in every window without
+/// coordination.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
     requests: VecDeque<Millis>,
@@ -230,18 +229,19 @@
 }
 
 impl Budget {
-    /// Counts a request.
+    /// Counts a request, which adds to the budget.
     pub fn note_request(&mut self, now: Millis, bound: &Bound) {
         self.requests.push_back(now);
         self.expire(now, bound.window);
     }
 
-    /// Takes a retry out of the budget of a fleet of so many routers; whether there was one left.
+    /// Charges a retry to this router's share in a fleet of `routers` routers. Returns `false` if the budget is used
+    /// up.
     pub fn take(&mut self, now: Millis, bound: &Bound, routers: usize) -> bool {
         self.expire(now, bound.window);
         let extra = bound.extra / routers.max(1) as f64;
         let allowed = bound.ratio * self.requests.len() as f64 + extra;
-        if self.retries.len() as f64 + 1.0 > allowed * BUDGET_USED {
+        if self.retries.len() as f64 + 1.0 > allowed * BUDGET_SHARE {
             return false;
         }
         self.retries.push_back(now);
--- a/src/gateway/decision/share.rs
+++ b/src/gateway/decision/share.rs
@@ -1,39 +1,39 @@
-//! Which routers may send to a target that takes only so many requests from all of them, and how many each.
+//! Which routers may send to a target that limits the total requests of all routers, and how many each.
 //!
-//! No router knows what the others send there, and asking one another would cost each request a way to another
-//! router. So the requests of a span are dealt out, whole, to as many routers as there are requests, in an order of
-//! the routers that depends on their names and the target's only: all agree without a word, and different targets
-//! have different routers. Routers whose views of the fleet differ, at a start or in a cut, may deal twice; who uses
-//! this leaves room for it.
+//! No router knows what the others send to the target, and asking them would add a round trip to another router to each
+//! request. So the requests of a window are allocated, as whole requests, to at most as many routers as there are
+//! requests. The order of the routers depends only on their names and the target's, so that all agree without
+//! coordination and different targets get different routers. Routers whose views of the fleet differ, at startup or
+//! during a network partition, may allocate the same requests twice; callers of this module leave room for that.
 //!
-//! An equal part for each router of a large fleet would be less than one request in a span, and since requests are
-//! whole, many routers that each send one in several spans can still meet in the same one. One router alone for each
-//! target would leave the target unused where that one has no requests for it.
+//! Rejected alternatives: an equal share for each router of a large fleet is less than one request in a window, and
+//! since requests are whole, many routers that each send one request every few windows can still send in the same
+//! window. A single router for each target would leave the target idle whenever that router has no requests for it.
 
-/// How a span's requests are dealt out.
+/// How the requests of a window are allocated to routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Draw {
-    /// Routers that may send.
+    /// Number of routers that may send.
     pub routers: usize,
-    /// Requests that each of them may send in the span.
+    /// Requests that each of them may send in the window.
     pub each: usize,
-    /// Routers, the first in the order, that may send one more.
+    /// Number of routers, from the start of the order, that may send one more.
     pub with_more: usize,
 }
 
 impl Draw {
-    /// Deals a span's requests, one at least, to a fleet of so many routers.
+    /// Allocates the requests of a window, at least one, to a fleet of `routers` routers.
     pub fn new(requests: usize, routers: usize) -> Self {
         let requests = requests.max(1);
-        let drawn = requests.min(routers.max(1));
+        let selected = requests.min(routers.max(1));
         Self {
-            routers: drawn,
-            each: requests / drawn,
-            with_more: requests % drawn,
+            routers: selected,
+            each: requests / selected,
+            with_more: requests % selected,
         }
     }
 
-    /// Requests that the router in this place of the order may send in the span.
+    /// Requests that the router at this position of the order may send in the window.
     pub fn part(&self, place: usize) -> usize {
         if place >= self.routers {
             return 0;
--- a/src/gateway/decision/stop.rs
+++ b/src/gateway/decision/stop.rs
@@ -1,45 +1,44 @@
-//! The steps of a planned stop, as times after its signal, and which requests are let in during one.
+//! The phases of a graceful shutdown, as times after its signal, and which requests are admitted during one.
 
 use std::time::Duration;
 
 use crate::units::Millis;
 
-/// Part of the time to stop, 0 to 1, in which any request is still let in.
+/// Share of the grace period, 0 to 1, in which any request is still admitted.
 const LINGER_SHARE: f64 = 0.4;
-/// Longest time in which any request is still let in. Users forgive the end of a long request at a stop to those
-/// that were sent within 3 s of the signal; a request is on its way for a part of the rest.
+/// Longest time in which any request is still admitted. A shutdown may cut off a long request only if it was sent
+/// within 3 s of the signal; the difference allows for the time that a request takes to arrive.
 const LINGER_MAX: Duration = Duration::from_millis(2_900);
-/// Times the life of an answer about addresses in which callers may still come by it.
+/// How long callers may still connect after the signal, as a multiple of the TTL of address answers.
 const LINGER_TTLS: f64 = 1.5;
-/// Longest time left at the end of the time to stop, for the last answers, to give grants back and to exit. An
-/// answer's way to a caller and a write to the store take far less.
+/// Longest time reserved at the end of the grace period for sending the last answers, giving grants back and exiting.
+/// Sending an answer to a caller and writing to the store take far less.
 const RESERVE_MAX: Duration = Duration::from_millis(1_150);
-/// The same as a part of the time to stop, 0 to 1: users forgive the end of a long request within its last sixth.
+/// Longest reserve as a share of the grace period, 0 to 1: a shutdown may cut off a long request only in the last sixth
+/// of the grace period.
 const RESERVE_SHARE: f64 = 0.15;
-/// Part of what is left to write the answers of requests that are given up; longer only where a caller does not
-/// read.
+/// Share of the reserve for writing the answers of abandoned requests. Only a caller that does not read needs longer.
 const ANSWERS_SHARE: f64 = 0.13;
-/// Part of what is left to give grants back, where the stop took all of its time. The rest is for the exit.
+/// Share of the reserve for giving grants back if the shutdown has used all of its time. The rest is for the exit.
 const GIVE_BACK_SHARE: f64 = 0.435;
-/// Longest time to give grants back, where the stop was done early. A write to the store and a loan
-/// take far less.
+/// Longest time for giving grants back if the shutdown finished early. A write to the store and a loan take far less.
 const GIVE_BACK_MAX: Duration = Duration::from_millis(500);
 
-/// When each step of a stop begins or ends.
+/// When each phase of a shutdown begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Plan {
-    /// After the signal: only requests are let in from then on that end before `end`.
+    /// Time after the signal from which only requests with a deadline before `end` are admitted.
     pub linger: Duration,
-    /// After the signal: what runs then is given up with an answer.
+    /// Time after the signal at which requests that still run are abandoned with an error answer.
     pub end: Duration,
-    /// Longest time to write the answers of what is given up.
+    /// Longest time for writing the answers of abandoned requests.
     pub answers: Duration,
-    /// After the signal: grants are given back by then.
+    /// Time after the signal by which grants are given back.
     given_back: Duration,
 }
 
 impl Plan {
-    /// The plan of a stop of at most `grace`, where callers may use an answer about addresses for `address_ttl`.
+    /// Plans a shutdown of at most `grace`, where callers may cache address answers for `address_ttl`.
     pub fn new(grace: Millis, address_ttl: Millis) -> Self {
         let grace = Duration::from_millis(grace.0);
         let reserve = RESERVE_MAX.min(grace.mul_f64(RESERVE_SHARE));
@@ -53,22 +52,22 @@
         }
     }
 
-    /// Longest time to give grants back, so long after the signal.
-    pub fn give_back(&self, since: Duration) -> Duration {
-        GIVE_BACK_MAX.min(self.given_back.saturating_sub(since))
+    /// Longest time for giving grants back if that begins at `elapsed` after the signal.
+    pub fn give_back(&self, elapsed: Duration) -> Duration {
+        GIVE_BACK_MAX.min(self.given_back.saturating_sub(elapsed))
     }
 }
 
-/// A stop that has begun.
+/// The deadlines of a shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Times<T> {
-    /// From then on only requests are let in that end before `end`.
+    /// From this time on, only requests with a deadline before `end` are admitted.
     pub late: T,
-    /// What runs then is given up.
+    /// When requests that still run are abandoned.
     pub end: T,
 }
 
-/// Whether a request comes too late for a stop to wait for its end.
+/// Whether a request arrives too late for the shutdown to wait for it.
 pub fn is_too_late<T: PartialOrd>(times: &Times<T>, now: T, deadline: T) -> bool {
     now >= times.late && deadline > times.end
 }
