--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -1,46 +1,46 @@
-//! When a target that fails gets no more requests for a while.
+//! Ejection of failing targets, which get no requests for some time.
 //!
-//! A target that fails fast has few requests in flight and would attract ever more, so its failures
-//! count by share and in a row, and eject it. The ejection doubles each time, and ends by itself: the
-//! next requests show whether the target is back. Part of each group stays in use whatever happens,
-//! since where all fail the fault is seldom the targets'. Both kinds of router judge by this.
+//! A target that fails fast has few requests in flight and would attract more and more of them, so it is ejected by its
+//! failure rate or after consecutive failures. The duration of an ejection doubles each time. An ejection ends by
+//! itself, and the next requests show whether the target has recovered. Part of each group always stays in use, since
+//! if all targets fail, the fault is seldom theirs. Both kinds of router use these rules.
 
 use crate::units::Millis;
 
-/// Weight of the newest outcome in the running averages, 0 to 1.
-const NEWEST: f64 = 0.2;
-/// Share of failures above which a target is ejected, once there are enough outcomes.
-const FAILURES_MAX: f64 = 0.4;
-/// Fewest outcomes before the share is judged.
+/// Weight of the newest outcome in the exponential moving averages, 0 to 1.
+const NEWEST_WEIGHT: f64 = 0.2;
+/// Failure rate above which a target is ejected, once there are [`OUTCOMES_MIN`] outcomes.
+const FAILURE_RATE_MAX: f64 = 0.4;
+/// Minimum number of outcomes before the failure rate is considered.
 const OUTCOMES_MIN: u32 = 8;
-/// Failures in a row that eject a target. Fewer eject on chance.
-const FAILED_IN_A_ROW: u32 = 3;
-/// First ejection; it doubles with each that follows.
+/// Consecutive failures that eject a target. A lower number would eject targets by chance.
+const CONSECUTIVE_FAILURES_MAX: u32 = 3;
+/// Duration of the first ejection; it doubles with each that follows.
 const EJECTION_FIRST: Millis = Millis(2_000);
 /// Longest ejection.
 const EJECTION_MAX: Millis = Millis(60_000);
-/// Doublings after which an ejection has its longest time.
+/// Number of doublings after which an ejection has its longest duration.
 const DOUBLINGS_MAX: u32 = 5;
-/// Part of a group that may be ejected at most, one in this many.
+/// At most one in this many targets of a group may be ejected.
 const GROUP_DIVISOR: usize = 2;
 
-/// How an attempt at a target ended, as far as the target is to be judged by it.
+/// The outcome of an attempt at a target, as far as it reflects on the target's health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
     /// It answered.
     Answered {
-        /// Time from the attempt's start to the answer's end.
+        /// Time from the start of the attempt to the end of the answer.
         took: Millis,
     },
-    /// It could not be reached, refused, broke off, or answered with a failure.
+    /// It could not be reached, refused the request, broke off, or answered with an error.
     Failed,
 }
 
-/// What is remembered of one target's outcomes.
+/// Statistics of one target's outcomes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Health {
-    failure_share: f64,
-    failed_in_a_row: u32,
+    failure_rate: f64,
+    consecutive_failures: u32,
     outcomes: u32,
     mean_time: Option<f64>,
     ejected_until: Millis,
@@ -48,38 +48,38 @@
 }
 
 impl Health {
-    /// Takes an outcome in. Whether the target should be ejected, as far as it alone is concerned, is
-    /// returned; see [`leaves_enough`].
+    /// Records an outcome. Returns whether the target should be ejected by its own statistics; the state of its group
+    /// is checked by [`leaves_enough`].
     pub fn note(&mut self, outcome: Outcome) -> bool {
         self.outcomes = self.outcomes.saturating_add(1);
         match outcome {
             Outcome::Answered { took } => {
-                self.failure_share *= 1.0 - NEWEST;
+                self.failure_rate *= 1.0 - NEWEST_WEIGHT;
                 self.mean_time = Some(average(self.mean_time, took));
-                self.failed_in_a_row = 0;
+                self.consecutive_failures = 0;
                 self.ejections = 0;
                 false
             }
             Outcome::Failed => {
-                self.failure_share = self.failure_share * (1.0 - NEWEST) + NEWEST;
-                self.failed_in_a_row += 1;
+                self.failure_rate = self.failure_rate * (1.0 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
+                self.consecutive_failures += 1;
                 self.fails_too_often()
             }
         }
     }
 
     fn fails_too_often(&self) -> bool {
-        let by_share = self.outcomes >= OUTCOMES_MIN && self.failure_share > FAILURES_MAX;
-        by_share || self.failed_in_a_row >= FAILED_IN_A_ROW
+        let by_rate = self.outcomes >= OUTCOMES_MIN && self.failure_rate > FAILURE_RATE_MAX;
+        by_rate || self.consecutive_failures >= CONSECUTIVE_FAILURES_MAX
     }
 
-    /// Ejects the target for a while.
+    /// Ejects the target for a limited time.
     pub fn eject(&mut self, now: Millis) {
         let doubled = EJECTION_FIRST.0 << self.ejections.min(DOUBLINGS_MAX);
         self.ejected_until = now + Millis(doubled).min(EJECTION_MAX);
         self.ejections += 1;
-        self.failure_share = 0.0;
-        self.failed_in_a_row = 0;
+        self.failure_rate = 0.0;
+        self.consecutive_failures = 0;
         self.outcomes = 0;
     }
 
@@ -88,18 +88,20 @@
         now < self.ejected_until
     }
 
-    /// Average time of an answer in milliseconds, once there is one.
+    /// Average time of an answer in milliseconds; `None` before the first answer.
     pub fn mean_time(&self) -> Option<f64> {
         self.mean_time
     }
 }
 
-/// Whether one more target of a group may be ejected, of which so many are.
+/// Whether one more target may be ejected from a group of `group` targets, of which `ejected` already are.
 pub fn leaves_enough(ejected: usize, group: usize) -> bool {
     (ejected + 1) * GROUP_DIVISOR <= group
 }
 
 fn average(old: Option<f64>, sample: Millis) -> f64 {
     let sample = sample.0 as f64;
-    old.map_or(sample, |old| old * (1.0 - NEWEST) + sample * NEWEST)
+    old.map_or(sample, |old| {
+        old * (1.0 - NEWEST_WEIGHT) + sample * NEWEST_WEIGHT
+    })
 }
--- a/src/gateway/route/config.rs
+++ b/src/gateway/route/config.rs
@@ -1,4 +1,4 @@
-//! One version of the configuration, with the indexes that a request is looked up by.
+//! One version of the configuration, with indexes for request lookup.
 
 use std::collections::HashMap;
 
@@ -13,34 +13,34 @@
 }
 
 key!(
-    /// A route of one configuration.
+    /// Index of a route within one configuration.
     RouteKey
 );
 key!(
-    /// A service of one configuration.
+    /// Index of a service within one configuration.
     ServiceKey
 );
 key!(
-    /// A customer of one configuration.
+    /// Index of a customer within one configuration.
     CustomerKey
 );
 
-/// What may be repeated.
+/// Whether and how requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
     /// May run more than once.
     Repeatable,
     /// Runs at most once.
     Once,
-    /// Answers with a stream of events and runs at most once, unless it may be resumed.
+    /// Answers with a stream of events and runs at most once, unless the stream is resumable.
     Stream {
-        /// Whether another target may continue it after the last event that was passed on.
+        /// Whether another target may continue the stream after the last event that was forwarded.
         resumable: bool,
     },
 }
 
 impl Kind {
-    /// Whether a request that may have run may be sent again from its start.
+    /// Whether a request that may have run may be sent again from the start.
     pub fn may_repeat(self) -> bool {
         matches!(self, Self::Repeatable | Self::Stream { resumable: true })
     }
@@ -51,55 +51,55 @@
     }
 }
 
-/// A share of a route's requests for one service.
+/// The share of a route's requests that goes to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Backend {
     /// The service.
     pub service: ServiceKey,
-    /// Its share, against the other weights of the route.
+    /// Its weight, relative to the other weights of the route.
     pub weight: f64,
 }
 
-/// Requests of one host whose path begins with one prefix.
+/// Settings for requests to one host whose paths start with one prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Its name.
     pub name: String,
     /// The host it belongs to.
     pub host: String,
-    /// The start of the path.
+    /// The prefix of the path.
     pub prefix: String,
     /// The services, at least one.
     pub backends: Vec<Backend>,
-    /// What may be repeated.
+    /// Whether and how its requests may be repeated.
     pub kind: Kind,
-    /// Longest time that a request is held.
+    /// Longest time until a request is answered or given up.
     pub timeout: Millis,
-    /// Time to the first byte of an answer that the route aims at.
+    /// Objective for the time to the first byte of an answer.
     pub latency_objective: Millis,
-    /// Targets that one request may be sent to, at least 1.
+    /// Maximum number of targets that one request may be sent to, at least 1.
     pub attempts: u32,
     /// Rank of its requests; 0 goes first.
     pub rank: u8,
-    /// Whether no key is needed.
+    /// Whether requests need no key.
     pub public: bool,
 }
 
-/// What a model engine of a service is like.
+/// Properties of the model engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// Most tokens that one event of a stream stands for.
+    /// Maximum number of tokens that one event of a stream represents.
     pub event_tokens: u64,
 }
 
-/// How a service's targets are after a start.
+/// How the targets of a service behave after they start.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdStart {
-    /// How long they stay cold.
+    /// How long a target stays cold.
     pub time: Millis,
-    /// Requests a second that a cold one bears from all routers together.
+    /// Requests a second that a cold target can handle from all routers together.
     pub per_second: f64,
 }
 
@@ -108,41 +108,41 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// Connections that one of its targets takes from all routers together. Not enforced.
+    /// Number of connections that one of its targets accepts from all routers together. Not enforced.
     pub connections: u32,
-    /// Set where its targets are model engines.
+    /// Set if its targets are model engines.
     pub engine: Option<Engine>,
-    /// Set where its targets are cold after a start.
+    /// Set if its targets are cold after they start.
     pub cold_start: Option<ColdStart>,
 }
 
-/// Who pays.
+/// An account that requests are charged to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
     /// Its name.
     pub name: String,
-    /// The secrets that prove it.
+    /// The secret keys that authenticate it.
     pub keys: Vec<String>,
-    /// Its rank, which goes before that of a route.
+    /// Its rank, which takes precedence over that of a route.
     pub rank: Option<u8>,
-    /// All that it may spend; `None` is unlimited.
+    /// Its prepaid budget; `None` is unlimited.
     pub prepaid: Option<Tokens>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on what a caller may send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a body, in bytes.
     pub body_bytes: usize,
-    /// Longest time for a head. Not enforced: heads are bounded by `idle_time`.
+    /// Longest time for receiving a request head. Not enforced: `idle_time` limits it instead.
     pub header_time: Millis,
-    /// Longest time that a connection is idle.
+    /// Longest time that a connection may be idle.
     pub idle_time: Millis,
 }
 
-/// The bounds where a configuration gives none.
+/// The limits for a configuration that sets none.
 impl Default for Limits {
     fn default() -> Self {
         Self {
@@ -157,9 +157,9 @@
 /// One version of the configuration.
 #[derive(Clone, Debug, Default)]
 pub struct Config {
-    /// Rises with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
-    /// Bounds for callers.
+    /// Limits on what a caller may send.
     pub limits: Limits,
     routes: Vec<Route>,
     services: Vec<Service>,
@@ -169,7 +169,7 @@
 }
 
 impl Config {
-    /// A version with its indexes. Routes name services by their place in `services`.
+    /// Creates a version and its indexes. Routes refer to services by their index in `services`.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -182,8 +182,8 @@
             let host = hosts.entry(route.host.to_ascii_lowercase()).or_default();
             host.push(RouteKey(index));
         }
-        for of_host in hosts.values_mut() {
-            of_host.sort_by_key(|key| std::cmp::Reverse(routes[key.0].prefix.len()));
+        for host_routes in hosts.values_mut() {
+            host_routes.sort_by_key(|key| std::cmp::Reverse(routes[key.0].prefix.len()));
         }
         let mut keys = HashMap::new();
         for (index, customer) in customers.iter().enumerate() {
@@ -202,35 +202,35 @@
         }
     }
 
-    /// The route with the longest prefix that begins this path. A port after the host is ignored.
+    /// The route of the host with the longest prefix of this path. A port after the host is ignored.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let of_host = match self.hosts.get(host) {
+        let host_routes = match self.hosts.get(host) {
             Some(keys) => keys,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
         };
-        of_host
+        host_routes
             .iter()
             .map(|key| &self.routes[key.0])
             .find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Whom a secret proves.
+    /// The customer that a secret key belongs to.
     pub fn customer_of(&self, secret: &str) -> Option<&Customer> {
         self.keys.get(secret).map(|key| &self.customers[key.0])
     }
 
-    /// A customer by name.
+    /// The customer with this name.
     pub fn customer(&self, name: &str) -> Option<&Customer> {
         self.customers.iter().find(|customer| customer.name == name)
     }
 
-    /// A service.
+    /// The service with this key.
     pub fn service(&self, key: ServiceKey) -> &Service {
         &self.services[key.0]
     }
 
-    /// How targets are after a start, of the services where that matters.
+    /// The cold start settings by service name, for the services that have them.
     pub fn cold_starts(&self) -> HashMap<String, ColdStart> {
         let services = self.services.iter();
         let cold = services.filter_map(|service| Some((service.name.clone(), service.cold_start?)));
@@ -247,7 +247,7 @@
         &self.routes
     }
 
-    /// Whether requests need a customer's key at all.
+    /// Whether any customer is configured; if not, no request needs a key.
     pub fn has_customers(&self) -> bool {
         !self.customers.is_empty()
     }
--- a/src/gateway/route/mod.rs
+++ b/src/gateway/route/mod.rs
@@ -1,6 +1,6 @@
-//! Routes: which service a request goes to, for whom, and within which limits.
+//! Routes: which service a request goes to, for which customer, and within which limits.
 //!
-//! A [`Config`] is immutable; each version is a new one, and a request is judged by one of them.
+//! A [`Config`] is immutable. Each version is a new value, and a request is processed under a single version.
 
 mod config;
 
