--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -1,4 +1,5 @@
-//! Targets that are cold after a start: what they get while others have room, and from whom where none has.
+//! Targets that are cold after a start: what they get while warm targets have free slots, and from which routers when
+//! none has.
 
 mod fleet;
 mod listed;
@@ -19,10 +20,11 @@
     time: Millis(3_000),
     per_second: 7.7,
 };
-/// Requests that users let a cold target have in a second, from all routers together.
+/// Most requests that a cold target may get in a second from all routers together: one and a half times its capacity,
+/// plus five.
 const ALLOWED: usize = (7.7 * 1.5 + 5.0) as usize;
 
-/// As many targets with one slot each, the first of them cold.
+/// `count` targets with one slot each, of which the first `cold` are cold.
 fn targets(count: u16, cold: u16) -> Targets {
     let mut targets = Targets::default();
     targets.set_cold_starts(HashMap::from([("s".to_owned(), COLD)]));
@@ -48,7 +50,7 @@
     let mut targets = targets(3, 2);
     let alone = members(0, 0..0);
     assert_eq!(usable(&targets, &alone, NOW), [TargetKey(2)]);
-    // No warm one has a free slot.
+    // No warm target has a free slot.
     targets.begin(NOW, TargetKey(2), 1);
     assert_eq!(usable(&targets, &alone, NOW).len(), 3);
     targets.end(TargetKey(2));
@@ -57,16 +59,16 @@
 }
 
 #[test]
-fn word_of_before() {
+fn outdated_entry_ignored() {
     let mut targets = targets(2, 1);
     let alone = members(0, 0..0);
-    // An entry that was written before the target turned cold says nothing of it.
+    // An entry written before the target became cold does not show that it is warm.
     targets.note_cold(NOW, "i-0", Millis::ZERO);
     assert_eq!(usable(&targets, &alone, NOW), [TargetKey(1)]);
 }
 
 #[test]
-fn taken_back_cold() {
+fn cold_after_evacuation() {
     let mut targets = targets(2, 0);
     let alone = members(0, 0..0);
     targets.set_evacuated(NOW, &["hall".to_owned()].into());
@@ -80,13 +82,14 @@
             }
         }
     }
-    // Alone, this router may send all that the fleet may.
+    // The only router of a fleet may send everything that the fleet may.
     let draw = cold::draw(&COLD, 1);
     assert_eq!((draw.routers, draw.each), (1, 5));
     assert!(usable(&targets, &alone, NOW).is_empty());
 }
 
-/// All targets of a service come back at once and every router sends what it may, for three seconds.
+/// Simulates three seconds in which all targets of a service have just restarted and each router sends as much as it
+/// may. Returns the most requests that a target gets in a second.
 fn most_in_a_second(fleet: &[Members]) -> usize {
     const TARGETS: u16 = 6;
     let mut views: Vec<Targets> = fleet.iter().map(|_| targets(TARGETS, TARGETS)).collect();
@@ -115,7 +118,7 @@
     }
 }
 
-/// Half of the fleet has never heard of the other half.
+/// The bound also holds if each half of the fleet does not know the other half.
 #[test]
 fn bound_in_a_cut() {
     let side = |me: u16| (0..40).filter(move |other| *other != me && other % 2 == me % 2);
@@ -124,7 +127,7 @@
     assert!((1..=ALLOWED).contains(&most), "{most}");
 }
 
-/// Routers that start know nobody yet, and would each take themselves for the only one.
+/// A router that has just started knows no others yet. Without a wait it would act as the only router.
 #[test]
 fn newcomers_wait() {
     let mut newcomer = Members::new(router(1), HEARTBEAT);
--- a/tests/decision_rules.rs
+++ b/tests/decision_rules.rs
@@ -1,5 +1,5 @@
-//! The gateway's rules as tables: what follows a failed attempt, what a caller is told, on what terms a
-//! request is let in, how grants are sized, and when a stop takes its steps.
+//! Table tests of the gateway's rules: retries after failed attempts, reasons and retry delays of refusals, admission,
+//! grant sizes, and the phases of a shutdown.
 
 use std::time::Duration;
 
@@ -60,22 +60,22 @@
 #[test]
 fn may_have_run() {
     let resumable = Kind::Stream { resumable: true };
-    let cut = Kind::Stream { resumable: false };
-    let never = Decision::GiveUp(Limit::NotRepeatable);
+    let not_resumable = Kind::Stream { resumable: false };
+    let not_repeatable = Decision::GiveUp(Limit::NotRepeatable);
     let cases = [
         (Failure::BrokenOff, Kind::Repeatable, Decision::Retry),
         (Failure::BrokenOff, resumable, Decision::Retry),
-        (Failure::BrokenOff, cut, never),
-        (Failure::BrokenOff, Kind::Once, never),
+        (Failure::BrokenOff, not_resumable, not_repeatable),
+        (Failure::BrokenOff, Kind::Once, not_repeatable),
         (
             Failure::TimedOut,
             Kind::Repeatable,
             Decision::GiveUp(Limit::Time),
         ),
-        (Failure::TimedOut, Kind::Once, never),
+        (Failure::TimedOut, Kind::Once, not_repeatable),
         (Failure::ServerError, Kind::Repeatable, Decision::Retry),
-        (Failure::ServerError, resumable, never),
-        (Failure::ServerError, Kind::Once, never),
+        (Failure::ServerError, resumable, not_repeatable),
+        (Failure::ServerError, Kind::Once, not_repeatable),
     ];
     for (failure, kind, decision) in cases {
         assert_eq!(failure.verdict(), Verdict::MayHaveRun);
@@ -85,12 +85,12 @@
 }
 
 #[test]
-fn what_is_told() {
-    let told = |failure| Reason::of(failure, Verdict::NotRun);
-    assert_eq!(told(Failure::Unreachable), Reason::Unreachable);
-    assert_eq!(told(Failure::Refused), Reason::TargetRefused);
-    assert_eq!(told(Failure::Late), Reason::Late);
-    // Once an attempt may have run, no later failure promises the contrary.
+fn reason_after_failure() {
+    let reason = |failure| Reason::of(failure, Verdict::NotRun);
+    assert_eq!(reason(Failure::Unreachable), Reason::Unreachable);
+    assert_eq!(reason(Failure::Refused), Reason::TargetRefused);
+    assert_eq!(reason(Failure::Late), Reason::Late);
+    // Once an attempt may have run, no later failure reports the request as not run.
     for failure in [Failure::Unreachable, Failure::Refused, Failure::Late] {
         let reason = Reason::of(failure, Verdict::MayHaveRun);
         assert_eq!(reason, Reason::BrokenOff);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn tokens_that_did_not_come() {
+fn refusal_for_missing_tokens() {
     let decide = |cost, left, store_answers| {
         refusal::shortage(&Shortage {
             cost: Tokens(cost),
@@ -109,40 +109,40 @@
             store_answers,
         })
     };
-    // Much is left, so a loan or a grant is on its way; little is, so the budget is as good as used up.
+    // If much is left, a loan or a grant is likely to arrive soon; if little is, the budget is nearly used up.
     assert_eq!(decide(1_000, 500_000, true), Refusal::Short);
     assert_eq!(decide(1_000, 1_000, true), Refusal::Scarce);
     assert_eq!(decide(1_000, 15_999, true), Refusal::Scarce);
     assert_eq!(decide(1_000, 16_000, true), Refusal::Short);
     assert_eq!(decide(u64::MAX, 16_000, true), Refusal::Scarce);
-    // What others hold or have spent is not known without the store.
+    // Without the store it is not known what other routers hold or have spent.
     assert_eq!(decide(1_000, 1_000, false), Refusal::CutOff);
 }
 
-fn told(reason: Reason, id: &str, store_lost: Option<Millis>) -> u64 {
-    let after = reason.retry_after(&Outlook {
+fn retry_after_ms(reason: Reason, id: &str, store_lost: Option<Millis>) -> u64 {
+    let delay = reason.retry_after(&Outlook {
         id,
         store_lost,
         running: Millis(10),
     });
-    after.expect("a later try may be served").0
+    delay.expect("a later retry may be served").0
 }
 
 #[test]
-fn when_to_come_back() {
-    let short = told(Reason::Refused(Refusal::Short), "r1", None);
-    let scarce = told(Reason::Refused(Refusal::Scarce), "r1", None);
+fn retry_delays() {
+    let short = retry_after_ms(Reason::Refused(Refusal::Short), "r1", None);
+    let scarce = retry_after_ms(Reason::Refused(Refusal::Scarce), "r1", None);
     assert!(short < 1_000, "a loan or a grant takes less: {short}");
-    assert!(scarce >= 30_000, "no soon return is promised: {scarce}");
-    // The longer the store has been away, the longer its return is likely to take, up to a bound.
+    assert!(scarce >= 30_000, "tokens are not expected soon: {scarce}");
+    // The longer the store has not answered, the longer the outage is likely to last; the delay is bounded.
     let cut_off = Reason::Refused(Refusal::CutOff);
-    let lost = |ms| told(cut_off, "r1", Some(Millis(ms)));
+    let lost = |ms| retry_after_ms(cut_off, "r1", Some(Millis(ms)));
     assert_eq!(lost(10), lost(5_000), "outages last many seconds");
     assert!(lost(20_000) >= 20_000);
     assert!(lost(20_000) > lost(5_000));
     assert_eq!(lost(60_000), lost(10_000_000));
-    // A configuration comes from the store as well.
-    let no_config = |lost: Option<u64>| told(Reason::NoConfig, "r1", lost.map(Millis));
+    // The configuration is read from the store as well.
+    let no_config = |lost: Option<u64>| retry_after_ms(Reason::NoConfig, "r1", lost.map(Millis));
     assert!(no_config(None) < 1_000);
     assert_eq!(no_config(Some(10)), lost(10));
     let no_config_for = |ms| {
@@ -156,17 +156,17 @@
     assert_eq!(
         no_config_for(10),
         no_config_for(300),
-        "a read takes a while"
+        "a read of the store takes some time"
     );
     assert!(
         no_config_for(2_500) >= 2_500,
-        "it is late, so it may take longer"
+        "it is overdue, so it may take longer"
     );
     assert_eq!(no_config_for(60_000), no_config_for(10_000_000));
-    // Another router serves at once, whatever the store does.
-    let stopping = told(Reason::Stopping, "r1", Some(Millis(20_000)));
+    // Another router serves immediately, whatever the state of the store.
+    let stopping = retry_after_ms(Reason::Stopping, "r1", Some(Millis(20_000)));
     assert!(stopping < 100, "{stopping}");
-    // Nothing is told where a later try meets the same, or the request may have run.
+    // There is no retry delay if a later retry would fail as well, or if the request may have run.
     for reason in [
         Reason::Refused(Refusal::Exhausted),
         Reason::NoKey,
@@ -187,14 +187,14 @@
     let reason = Reason::Refused(Refusal::CutOff);
     let shortest = reason.shortest_retry().unwrap().0;
     let ids = 0..1_000;
-    let times = ids.map(|number| told(reason, &format!("r{number}"), None));
+    let times = ids.map(|number| retry_after_ms(reason, &format!("r{number}"), None));
     let times: Vec<u64> = times.collect();
     assert!(
         times
             .iter()
             .all(|time| (shortest..=2 * shortest).contains(time))
     );
-    // No tenth of the span has more than twice its part.
+    // No tenth of the range has more than twice its share of the callers.
     let mut tenths = [0; 10];
     for time in &times {
         let tenth = (time - shortest) * 10 / (shortest + 1);
@@ -202,9 +202,9 @@
     }
     assert!(tenths.iter().all(|count| *count <= 200), "{tenths:?}");
     assert_eq!(
-        told(reason, "r7", None),
-        told(reason, "r7", None),
-        "an id always has the same time"
+        retry_after_ms(reason, "r7", None),
+        retry_after_ms(reason, "r7", None),
+        "an id always gets the same delay"
     );
 }
 
@@ -263,7 +263,7 @@
     assert_eq!(admit("/shut/x", None, None), Err(Reason::NoKey));
     assert_eq!(admit("/shut/x", Some("?"), None), Err(Reason::NoKey));
     assert_eq!(admit("/open/x", None, None), Ok((7, Millis(4_000), 1)));
-    // A customer's rank comes before that of the route, of which three are told apart.
+    // A customer's rank takes precedence over that of the route, of which three are distinguished.
     let short = Some(Millis(9));
     assert_eq!(admit("/shut/x", anna, short), Ok((4, Millis(9), 1)));
     assert_eq!(admit("/open/x", anna, None), Ok((5, Millis(4_000), 1)));
@@ -305,7 +305,7 @@
         assert_eq!(scarce(Some(0)), Source::Nobody);
         assert_eq!(scarce(Some(pause.0 - 1)), Source::Nobody);
         assert_eq!(scarce(Some(pause.0)), scarce(None), "they are asked again");
-        // A grant or the store's return may come at any time.
+        // A grant may arrive or the store may recover at any time.
         for refusal in [Refusal::Short, Refusal::CutOff] {
             assert_eq!(source(refusal, Some(0)), source(refusal, None));
         }
@@ -333,7 +333,7 @@
         granted: Tokens(50),
     };
     let size = |need: Need| grant::size(&sizing, &need).0;
-    // 0.05 of what is left beyond 12 s of all demand, over five holders: 976; 8 s of own demand: 800.
+    // 0.05 of what is left beyond 12 s of total demand, over five holders, is 976; 8 s of own demand is 800.
     assert_eq!(size(need), 50 + 976);
     let busy = Need {
         demand: 150.0,
@@ -345,29 +345,37 @@
         waiting: Tokens(70),
         ..need
     };
-    assert_eq!(size(low), 50 + 70, "near the end only what waits");
+    assert_eq!(
+        size(low),
+        50 + 70,
+        "near the end of the budget only for waiting requests"
+    );
     let borrower = Need {
         role: Role::Borrower,
         ..low
     };
     assert_eq!(size(borrower), 50 + 70);
-    let taken = Need {
+    let mostly_granted = Need {
         free: Tokens(60),
         ..need
     };
-    assert_eq!(size(taken), 60, "no more than nobody else has");
+    assert_eq!(
+        size(mostly_granted),
+        60,
+        "no more than is not granted to others"
+    );
     let lowered = Need {
         free: Tokens::ZERO,
         ..need
     };
-    assert_eq!(size(lowered), 50, "what is used stays granted");
+    assert_eq!(size(lowered), 50, "used tokens stay granted");
     assert_eq!(grant::lend(Tokens(100), Tokens(10), Tokens(30)), Tokens(10));
     assert_eq!(grant::lend(Tokens(120), Tokens(10), Tokens(30)), Tokens(30));
     assert_eq!(grant::lend(Tokens(5), Tokens(10), Tokens(30)), Tokens(5));
 }
 
-/// Users forgive the end of a long request at a stop to those that were sent within 3 s of the signal, and only
-/// within the last sixth of the time to stop.
+/// A shutdown may cut off a long request only if it was sent within 3 s of the signal, and only in the last sixth of
+/// the grace period.
 #[test]
 fn stop_steps() {
     for grace in [1_000, 2_000, 5_000, 6_900, 8_000, 10_000, 30_000, 3_600_000] {
--- a/tests/early_refusal.rs
+++ b/tests/early_refusal.rs
@@ -1,8 +1,7 @@
-//! Refusals that are known before a caller has sent all of its request.
+//! Refusals that are decided before a caller has sent the whole request.
 //!
-//! A caller that sends a long body reads no answer before it has sent it. A connection that is closed with
-//! bytes unread is reset, and the reset can overtake the refusal, so that the caller has neither an answer
-//! nor a refusal.
+//! A caller that sends a long body reads no answer before it has sent all of it. Closing a connection with unread bytes
+//! resets it, and the reset can overtake the refusal, so that the caller never sees it.
 
 mod deployment;
 
@@ -13,43 +12,45 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-const PLENTY: u64 = 1_000_000;
-/// Within what the configuration allows, and more than is read at once.
-const BODY: usize = 60_000;
+/// The customer's prepaid budget, in tokens; more than the tests use.
+const PREPAID: u64 = 1_000_000;
+/// Length of a body in bytes: within the configured limit, and more than the router reads at once.
+const BODY_LEN: usize = 60_000;
 
-/// Sends a head, and the body once the refusal has had the time to be written; reads the answer and returns its head.
-async fn send_slowly(line: &mut TcpStream, path: &str, key: &str) -> std::io::Result<String> {
+/// Sends a request head, and then the body in parts, so that the refusal can be written meanwhile. Reads the answer and
+/// returns its head.
+async fn send_slowly(connection: &mut TcpStream, path: &str, key: &str) -> std::io::Result<String> {
     let head = format!(
         "POST {path} HTTP/1.1\r\nhost: {HOST}\r\nx-attempt-id: r\r\nx-deadline-ms: 5000\r\n\
-         authorization: Bearer {key}\r\ncontent-length: {BODY}\r\n\r\n"
+         authorization: Bearer {key}\r\ncontent-length: {BODY_LEN}\r\n\r\n"
     );
-    line.write_all(head.as_bytes()).await?;
-    for part in vec![b'x'; BODY].chunks(BODY / 4) {
+    connection.write_all(head.as_bytes()).await?;
+    for part in vec![b'x'; BODY_LEN].chunks(BODY_LEN / 4) {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        line.write_all(part).await?;
+        connection.write_all(part).await?;
     }
     let mut answer = Vec::new();
     while !answer.windows(4).any(|end| end == b"\r\n\r\n") {
-        answer.push(line.read_u8().await?);
+        answer.push(connection.read_u8().await?);
     }
     let head = String::from_utf8(answer).unwrap();
     let mut fields = head.lines().filter_map(|field| field.split_once(": "));
     let len = fields.find(|(name, _)| *name == "content-length");
     let mut body = vec![0; len.map_or(0, |(_, len)| len.parse().unwrap())];
-    line.read_exact(&mut body).await?;
+    connection.read_exact(&mut body).await?;
     Ok(head)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn body_still_coming() {
     let app = Runner::start("i-app").await;
-    let deployment = Deployment::start(1, &config(1, PLENTY), &[("app", &app)]).await;
+    let deployment = Deployment::start(1, &config(1, PREPAID), &[("app", &app)]).await;
     let front = deployment.gateways[0].front;
     for (path, key, status) in [("/once/x", "nobody's", "401"), ("/nowhere/x", KEY, "404")] {
-        let mut line = TcpStream::connect(front).await.unwrap();
+        let mut connection = TcpStream::connect(front).await.unwrap();
         for _ in 0..3 {
-            let answer = send_slowly(&mut line, path, key).await;
-            let answer = answer.expect("the connection is not closed under the caller's body");
+            let answer = send_slowly(&mut connection, path, key).await;
+            let answer = answer.expect("the connection stays open while the caller sends the body");
             assert!(
                 answer.starts_with(&format!("HTTP/1.1 {status}")),
                 "{answer}"
@@ -62,15 +63,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn body_too_long() {
     let app = Runner::start("i-app").await;
-    let deployment = Deployment::start(1, &config(1, PLENTY), &[("app", &app)]).await;
+    let deployment = Deployment::start(1, &config(1, PREPAID), &[("app", &app)]).await;
     let front = deployment.gateways[0].front;
-    let mut line = TcpStream::connect(front).await.unwrap();
+    let mut connection = TcpStream::connect(front).await.unwrap();
     let head = format!(
         "POST /once/x HTTP/1.1\r\nhost: {HOST}\r\nx-attempt-id: r\r\nx-deadline-ms: 5000\r\n\
          authorization: Bearer {KEY}\r\ncontent-length: 100000000\r\n\r\n"
     );
-    line.write_all(head.as_bytes()).await.unwrap();
+    connection.write_all(head.as_bytes()).await.unwrap();
     let mut answer = vec![0; 12];
-    line.read_exact(&mut answer).await.unwrap();
-    assert_eq!(answer, b"HTTP/1.1 413", "before any of the body");
+    connection.read_exact(&mut answer).await.unwrap();
+    assert_eq!(
+        answer, b"HTTP/1.1 413",
+        "refused before any of the body was sent"
+    );
 }
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -1,4 +1,5 @@
-//! A target's own rate limit over all routers: what they send together, how much of it they use, and what ends it.
+//! A target's advertised rate limit across all routers: whether they keep it together, how much of it they use, and
+//! what ends it.
 
 mod fleet;
 mod listed;
@@ -11,12 +12,12 @@
 use lanedeck::units::Millis;
 
 const KEY: TargetKey = TargetKey(0);
-/// Time between two looks of a router that has more requests than its targets take.
+/// Interval at which a router with more requests than its targets accept tries to send.
 const STEP: Millis = Millis(25);
 /// How long the routers send.
-const PLAY: Millis = Millis(16_000);
-/// The span in which arrivals are counted.
-const SPAN: Millis = Millis(4_000);
+const DURATION: Millis = Millis(16_000);
+/// The window in which arrivals are counted.
+const WINDOW: Millis = Millis(4_000);
 const LIMITS: [f64; 6] = [0.5, 1.4, 1.8, 7.0, 12.5, 50.0];
 
 fn limited(per_second: f64) -> Notice {
@@ -26,12 +27,12 @@
     }
 }
 
-/// Requests that users let a target have in a span: half as many again as it takes, and five.
+/// Most requests that a target may get in a window: one and a half times its limit, plus five.
 fn allowed(limit: f64) -> usize {
-    (limit * SPAN.0 as f64 / 1_000.0 * 1.5 + 5.0) as usize
+    (limit * WINDOW.0 as f64 / 1_000.0 * 1.5 + 5.0) as usize
 }
 
-/// A router with one target, that has known these others for a while.
+/// A router with one target that already knows other routers.
 struct View {
     members: Members,
     targets: Targets,
@@ -66,8 +67,9 @@
     }
 }
 
-/// All routers send to one target whatever they may, and hear of its limit within a tenth of a second; when they sent.
-fn play(fleet: &mut [View], limit: f64) -> Vec<Millis> {
+/// Simulates routers that learn of a target's limit within a tenth of a second and send as much as they may. Returns
+/// the times at which they sent.
+fn simulate(fleet: &mut [View], limit: f64) -> Vec<Millis> {
     let mut sent = Vec::new();
     let count = fleet.len() as u64;
     for (place, view) in fleet.iter_mut().enumerate() {
@@ -75,7 +77,7 @@
         view.hear(heard, NOW, &limited(limit));
     }
     let mut now = NOW + Millis(100);
-    while now < NOW + PLAY {
+    while now < NOW + DURATION {
         for view in fleet.iter_mut() {
             if view.may_send(now) {
                 view.send(now);
@@ -93,13 +95,13 @@
         for limit in LIMITS {
             let others = |me: u16| (0..routers).filter(move |other| *other != me);
             let mut fleet: Vec<View> = (0..routers).map(|me| View::new(me, others(me))).collect();
-            let sent = play(&mut fleet, limit);
-            let (most, allowed) = (most_within(&sent, SPAN), allowed(limit));
+            let sent = simulate(&mut fleet, limit);
+            let (most, allowed) = (most_within(&sent, WINDOW), allowed(limit));
             assert!(
                 most <= allowed,
                 "{routers} routers, {limit}/s: {most} of {allowed}"
             );
-            let per_second = sent.len() as f64 * 1_000.0 / PLAY.0 as f64;
+            let per_second = sent.len() as f64 * 1_000.0 / DURATION.0 as f64;
             assert!(
                 per_second >= 0.6 * limit,
                 "{routers} routers, {limit}/s: {per_second} used"
@@ -108,20 +110,21 @@
     }
 }
 
-/// Half of the fleet has never heard of the other half.
+/// The limit also holds if each half of the fleet does not know the other half.
 #[test]
 fn kept_in_a_cut() {
     for limit in LIMITS {
         let side = |me: u16| (0..40).filter(move |other| *other != me && other % 2 == me % 2);
         let mut fleet: Vec<View> = (0..40).map(|me| View::new(me, side(me))).collect();
-        let most = most_within(&play(&mut fleet, limit), SPAN);
+        let most = most_within(&simulate(&mut fleet, limit), WINDOW);
         assert!(most <= allowed(limit), "{limit}/s: {most}");
     }
 }
 
-/// The part of routers that have ended for good goes to others; in a cut from the store nothing is known of that.
+/// The share of a router that has ended for good is allocated to others, except while this router is cut off from the
+/// store and cannot know that the other has ended.
 #[test]
-fn parts_of_the_dead() {
+fn shares_of_ended_routers() {
     const MINUTES: Millis = Millis(120_000);
     let mut view = View::new(0, 1..40);
     view.hear(NOW, NOW, &limited(0.5));
@@ -135,23 +138,24 @@
     assert_eq!(place(&view, NOW + MINUTES), among_all);
 }
 
-/// Routers that start send nothing there until the others know them.
+/// A router that starts sends nothing to a limited target until the other routers know of it.
 #[test]
 fn newcomers_wait() {
     let mut view = View::new(0, 0..0);
     view.members = Members::new(router(0), HEARTBEAT);
     view.hear(NOW, NOW, &limited(50.0));
-    assert!(!view.may_send(NOW + SPAN));
+    assert!(!view.may_send(NOW + WINDOW));
     view.members.note_written(NOW);
     assert!(!view.may_send(NOW + HEARTBEAT));
-    assert!(view.may_send(NOW + SPAN));
+    assert!(view.may_send(NOW + WINDOW));
 }
 
-/// A target that takes nothing gets a request now and then, since only its answer can tell that it does again.
+/// A target with a limit of zero still gets a request now and then, since only its answer shows that the limit has
+/// ended.
 #[test]
 fn nothing_taken() {
     let mut view = View::new(0, 0..0);
-    let sent = play(std::slice::from_mut(&mut view), 0.0);
+    let sent = simulate(std::slice::from_mut(&mut view), 0.0);
     assert_eq!(sent.len(), 2, "{sent:?}");
 }
 
@@ -163,14 +167,14 @@
     view.send(at(10));
     assert!(
         view.hear(at(20), at(15), &limited(0.5)).is_none(),
-        "no news"
+        "the limit has not changed"
     );
-    // Sent before the limit was last heard: it may have been answered before it began.
+    // Sent before the limit was last confirmed, so the target may have answered before the limit began.
     assert!(view.hear(at(30), at(5), &Notice::default()).is_none());
     assert!(!view.may_send(at(40)));
     assert!(view.hear(at(60), at(50), &Notice::default()).is_some());
     assert!(view.may_send(at(60)));
-    // An older answer that comes late.
+    // The answer to an older request arrives late.
     assert!(view.hear(at(70), at(40), &limited(0.5)).is_none());
     assert!(view.may_send(at(70)));
     assert!(view.hear(at(90), at(80), &limited(0.5)).is_some());
@@ -178,8 +182,9 @@
     assert!(!view.may_send(at(90)));
 }
 
+/// A notice that cannot be parsed does not change the limit.
 #[test]
-fn unreadable_says_nothing() {
+fn unreadable_notice_ignored() {
     let mut view = View::new(0, 0..0);
     view.hear(NOW, NOW, &limited(0.5));
     view.send(NOW);
@@ -192,29 +197,29 @@
     assert!(!view.may_send(later));
 }
 
-/// What links tell is taken in once, and never brings back what has ended.
+/// Reports from other routers are applied once, and never bring back a limit that has ended.
 #[test]
-fn told_over_links() {
-    let mut teller = View::new(0, [1].into_iter());
+fn reports_from_links() {
+    let mut reporter = View::new(0, [1].into_iter());
     let mut other = View::new(1, [0].into_iter());
-    teller.hear(NOW, NOW, &limited(0.5));
-    let limited_then = teller.targets.reports(NOW, 0);
+    reporter.hear(NOW, NOW, &limited(0.5));
+    let limited_then = reporter.targets.reports(NOW, 0);
     other.merge(NOW, &limited_then);
     assert_eq!(other.targets.reports(NOW, 0), limited_then);
     let later = NOW + Millis(10);
-    teller.hear(later, later, &Notice::default());
-    let ended_then = teller.targets.reports(later, 0);
+    reporter.hear(later, later, &Notice::default());
+    let ended_then = reporter.targets.reports(later, 0);
     other.merge(later, &ended_then);
     assert!(other.may_send(later));
     other.merge(later, &limited_then);
     assert!(other.may_send(later), "an older report changes nothing");
-    // An answer to a request that was sent before the end was told is older, too.
+    // The answer to a request sent before the end was reported is outdated, too.
     assert!(other.hear(later, NOW, &limited(0.5)).is_none());
     assert!(other.may_send(later));
 }
 
-/// A router that knows nothing of a limit that has ended hears of the next one first: the others hear it from that one,
-/// although its count of changes is behind.
+/// A router that missed an earlier limit is the first to learn of a new one. The others accept its report, although its
+/// revision number is lower than theirs.
 #[test]
 fn behind_the_others() {
     let mut old = View::new(0, [1].into_iter());
@@ -224,7 +229,7 @@
     let later = NOW + Millis(60_000);
     assert!(
         old.targets.reports(later, 0).is_empty(),
-        "told for long enough"
+        "it is no longer reported"
     );
     let mut now = later;
     for _ in 0..2 {
@@ -233,15 +238,16 @@
         started.merge(now, &old.targets.reports(now, 0));
         now += Millis(10);
     }
-    let (told, known) = (started.targets.reports(now, 0), old.targets.reports(now, 0));
-    assert_eq!(told, known);
+    let (sent, received) = (started.targets.reports(now, 0), old.targets.reports(now, 0));
+    assert_eq!(sent, received);
     assert!(matches!(
-        known[0].word,
+        received[0].word,
         Word::RateLimit { limit: Some(_), .. }
     ));
 }
 
-/// Whatever routers hear and tell in whatever order, they agree once all have told all.
+/// Whatever notices and reports routers receive and in whatever order, they agree once each has sent its reports to
+/// all.
 #[test]
 fn routers_agree() {
     arbtest::arbtest(|input| {
@@ -272,11 +278,16 @@
             let reports = views[from].targets.reports(now, 0);
             views.iter_mut().for_each(|view| view.merge(now, &reports));
         }
-        let told: Vec<Vec<Report>> = views
+        let final_reports: Vec<Vec<Report>> = views
             .iter()
             .map(|view| view.targets.reports(now, 0))
             .collect();
-        assert!(told.iter().all(|one| *one == told[0]), "{told:?}");
+        assert!(
+            final_reports
+                .iter()
+                .all(|reports| *reports == final_reports[0]),
+            "{final_reports:?}"
+        );
         Ok(())
     });
 }
--- a/tests/overload_refusal.rs
+++ b/tests/overload_refusal.rs
@@ -1,4 +1,4 @@
-//! A router whose callers send it more than its part of a core carries: what they get with and without refusals.
+//! A router that gets more requests than its share of a core can handle: what callers get with and without refusals.
 
 use std::collections::VecDeque;
 
@@ -8,22 +8,23 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// Turns of a request on the traffic thread; with [`TURN`], 250 requests a second are all that it carries.
-const TURNS: u32 = 8;
-/// Time of a turn, in microseconds.
-const TURN: u64 = 500;
-/// Interval of samples of the lag, in microseconds.
-const SAMPLE: u64 = 20_000;
+/// Times that the traffic thread schedules a request; with [`STEP_MICROS`], its capacity is 250 requests a second.
+const STEPS: u32 = 8;
+/// Time that the thread takes for one step, in microseconds.
+const STEP_MICROS: u64 = 500;
+/// Interval of lag samples, in microseconds.
+const SAMPLE_MICROS: u64 = 20_000;
 const OBJECTIVE: Millis = Millis(600);
+/// A second, in microseconds.
 const SECOND: u64 = 1_000_000;
 
 #[derive(Clone, Copy)]
 struct Request {
     arrived: u64,
-    turns: u32,
+    steps_left: u32,
 }
 
-/// What callers get, in thousandths of what they ask.
+/// What callers get, in thousandths of their requests.
 #[derive(Debug, PartialEq, Eq)]
 struct Outcome {
     in_time: u64,
@@ -31,39 +32,39 @@
     refused: u64,
 }
 
-/// Plays six seconds of evenly spaced requests, and until they are done.
-fn play(requests_a_second: u64, refuses: bool) -> Outcome {
-    let gap = SECOND / requests_a_second;
-    let asked = 6 * requests_a_second;
-    let (mut now, mut next, mut sample_due) = (0, 0, SAMPLE);
-    let mut draw = StdRng::seed_from_u64(1);
+/// Simulates six seconds of evenly spaced requests, until all are done.
+fn simulate(requests_per_second: u64, refuses: bool) -> Outcome {
+    let gap = SECOND / requests_per_second;
+    let total = 6 * requests_per_second;
+    let (mut now, mut next, mut sample_due) = (0, 0, SAMPLE_MICROS);
+    let mut rng = StdRng::seed_from_u64(1);
     let mut queue: VecDeque<Request> = VecDeque::new();
     let (mut lag, mut least) = (Lag::default(), Millis::ZERO);
     let (mut in_time, mut late, mut refused) = (0, 0, 0);
-    while in_time + late + refused < asked {
-        while next < asked && next * gap <= now {
+    while in_time + late + refused < total {
+        while next < total && next * gap <= now {
             queue.push_back(Request {
                 arrived: next * gap,
-                turns: TURNS,
+                steps_left: STEPS,
             });
             next += 1;
         }
         if now >= sample_due {
-            // The timer has its turn behind all that waits now.
-            least = lag.note(Millis(queue.len() as u64 * TURN / 1_000));
-            sample_due = now + SAMPLE;
+            // The timer runs after everything that is queued now.
+            least = lag.note(Millis(queue.len() as u64 * STEP_MICROS / 1_000));
+            sample_due = now + SAMPLE_MICROS;
         }
         let Some(mut request) = queue.pop_front() else {
             now = next * gap;
             continue;
         };
-        now += TURN;
-        // The third turn admits it.
-        let is_admitted = request.turns == TURNS - 2;
-        request.turns -= 1;
-        if is_admitted && refuses && is_refused(least, OBJECTIVE, draw.next_u64()) {
+        now += STEP_MICROS;
+        // Admission is the third step.
+        let is_admission = request.steps_left == STEPS - 2;
+        request.steps_left -= 1;
+        if is_admission && refuses && is_refused(least, OBJECTIVE, rng.next_u64()) {
             refused += 1;
-        } else if request.turns > 0 {
+        } else if request.steps_left > 0 {
             queue.push_back(request);
         } else if now - request.arrived <= OBJECTIVE.0 * 1_000 {
             in_time += 1;
@@ -71,7 +72,7 @@
             late += 1;
         }
     }
-    let share = |count: u64| count * 1_000 / asked;
+    let share = |count: u64| count * 1_000 / total;
     Outcome {
         in_time: share(in_time),
         late: share(late),
@@ -79,18 +80,19 @@
     }
 }
 
-/// Half as much again as it carries: without refusals 86 in 1,000 are answered in time, and the others are late;
-/// with them 485 are, and none is late. More cannot be, since a refusal takes three turns of eight.
+/// At one and a half times the capacity, 86 in 1,000 requests are answered in time without refusals, and the others are
+/// late. With refusals 485 are in time, and none is late. More is not possible, since a refusal takes three steps of
+/// eight.
 #[test]
 fn too_much() {
-    let before = play(375, false);
-    assert_eq!((before.in_time, before.late), (86, 913), "{before:?}");
-    let after = play(375, true);
-    assert!(after.in_time >= 450, "{after:?}");
-    assert!(after.late <= 10, "{after:?}");
+    let without = simulate(375, false);
+    assert_eq!((without.in_time, without.late), (86, 913), "{without:?}");
+    let with = simulate(375, true);
+    assert!(with.in_time >= 450, "{with:?}");
+    assert!(with.late <= 10, "{with:?}");
 }
 
-/// What it carries is not refused, nor a short burst.
+/// No request is refused while the rate is within the capacity.
 #[test]
 fn just_enough() {
     let all = Outcome {
@@ -98,10 +100,10 @@
         late: 0,
         refused: 0,
     };
-    assert_eq!(play(240, true), all);
+    assert_eq!(simulate(240, true), all);
 }
 
-/// One sample that is not late shows that nothing stands before the thread.
+/// A single sample that is not late shows that the thread has no backlog.
 #[test]
 fn least_counts() {
     let mut lag = Lag::default();
@@ -112,13 +114,13 @@
     assert_eq!(lag.note(Millis(2)), Millis(2));
 }
 
-/// The shorter the time in which an answer is of use, and the longer work waits, the more are refused.
+/// The shorter the latency objective and the longer the lag, the more requests are refused.
 #[test]
 fn by_objective() {
     let refused = |lag, objective| {
-        let mut draw = StdRng::seed_from_u64(1);
-        let draws = (0..1_000).map(|_| draw.next_u64());
-        let refused = draws.filter(|draw| is_refused(Millis(lag), Millis(objective), *draw));
+        let mut rng = StdRng::seed_from_u64(1);
+        let numbers = (0..1_000).map(|_| rng.next_u64());
+        let refused = numbers.filter(|random| is_refused(Millis(lag), Millis(objective), *random));
         refused.count()
     };
     assert_eq!(refused(0, 1), 0);
--- a/tests/route_choice.rs
+++ b/tests/route_choice.rs
@@ -1,4 +1,4 @@
-//! Which route, service and customer a request belongs to.
+//! The lookup of routes and customers, and which kinds of routes allow retries.
 
 use lanedeck::gateway::route::{
     Backend, Config, Customer, Kind, Limits, Route, Service, ServiceKey,
