--- a/src/gateway/control/shortage.rs
+++ b/src/gateway/control/shortage.rs
@@ -55,7 +55,7 @@
         event = "payment_refused",
         id = %job.id,
         %customer,
-        reason = Reason::Refused(refusal).word(),
+        reason = Reason::Refused(refusal).as_str(),
         max_cost = job.max_cost().0,
         available = available.0,
         spent = spent.0,
--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -239,7 +239,7 @@
     }
 
     /// The reason code in answers and logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::BadHeader => "bad_header",
             Self::BadBody => "bad_body",
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -176,7 +176,7 @@
 
 impl Limit {
     /// Its name in logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRepeatable => "not_repeatable",
             Self::Attempts => "attempts",
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -287,7 +287,7 @@
             self.verdict = Verdict::MayHaveRun;
         }
         let reason = Reason::of(failure, self.verdict);
-        self.next(failed, reason.word()).await.ok_or(reason)
+        self.next(failed, reason.as_str()).await.ok_or(reason)
     }
 
     /// Starts another attempt after a target's own failure, which can be passed on otherwise.
@@ -301,7 +301,7 @@
         let decision = retry::decide(failed.failure, &self.history());
         let limit = match decision {
             Decision::Retry => "none",
-            Decision::GiveUp(limit) => limit.word(),
+            Decision::GiveUp(limit) => limit.as_str(),
         };
         tracing::info!(
             event = "attempt_failed",
@@ -326,7 +326,7 @@
                 Some(next)
             }
             Err(refusal) => {
-                let reason = Reason::Refused(refusal).word();
+                let reason = Reason::Refused(refusal).as_str();
                 tracing::info!(event = "retry_refused", id = %self.request.id, reason);
                 None
             }
--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -14,7 +14,7 @@
     dialect: &dyn Dialect,
     id: &str,
 ) -> Response<Body> {
-    let (body, headers) = dialect.write_refusal(id, reason.word());
+    let (body, headers) = dialect.write_refusal(id, reason.as_str());
     let mut response = Response::new(Body::full(body));
     *response.status_mut() = reason.status();
     *response.headers_mut() = headers;
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -136,7 +136,7 @@
     tracing::info!(
         event = "refused",
         %id,
-        reason = reason.word(),
+        reason = reason.as_str(),
         status = reason.status().as_u16(),
         config = config.as_ref().map_or(0, |config| config.version),
         retry_after_ms = retry_after.map(|after| after.0),
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -147,7 +147,7 @@
                     event = "stream_broken",
                     id = %self.exchange.request.id,
                     ?failure,
-                    reason = reason.word(),
+                    reason = reason.as_str(),
                     events = self.events.count(),
                     ms = self.exchange.started.elapsed().as_millis() as u64
                 );
