--- a/src/gateway/decision/cold.rs
+++ b/src/gateway/decision/cold.rs
@@ -4,7 +4,7 @@
 //! nothing as long as a warm target has a free slot. If none has, the requests that it can handle are allocated to a
 //! few routers by [`share`](super::share).
 
-use super::share::Draw;
+use super::share::Allocation;
 use crate::gateway::route::ColdStart;
 use crate::units::Millis;
 
@@ -16,8 +16,8 @@
 pub const WINDOW: Millis = Millis(1_050);
 
 /// Decides which of a fleet's routers may send to a cold target, and how many requests each in a [`WINDOW`].
-pub fn draw(cold: &ColdStart, routers: usize) -> Draw {
-    Draw::new(
+pub fn allocation(cold: &ColdStart, routers: usize) -> Allocation {
+    Allocation::new(
         (cold.per_second * ALLOCATED_SHARE).floor() as usize,
         routers,
     )
--- a/src/gateway/decision/limit.rs
+++ b/src/gateway/decision/limit.rs
@@ -7,7 +7,7 @@
 //! is unknown during a network partition; and pinning whole customers to one target, which leaves the target idle when
 //! they send nothing.
 
-use super::share::Draw;
+use super::share::Allocation;
 use crate::gateway::notice::Rate;
 use crate::units::Millis;
 
@@ -76,14 +76,14 @@
 /// The schedule of the router at this position of the order, if any requests are allocated to it.
 fn schedule(limit: Rate, routers: usize, place: usize) -> Option<Schedule> {
     let (requests, window) = allocated(limit);
-    let draw = Draw::new(requests, routers);
-    let own = draw.part(place) as u64;
+    let allocation = Allocation::new(requests, routers);
+    let own = allocation.quota(place) as u64;
     if own == 0 {
         return None;
     }
     // Catching up may shorten the time between two requests; the quota of a window still holds.
     let interval = (window + CATCH_UP).0.div_ceil(own);
-    let first = interval * place as u64 / draw.routers as u64;
+    let first = interval * place as u64 / allocation.routers as u64;
     Some(Schedule {
         interval: Millis(interval),
         first: Millis(first),
--- a/src/gateway/decision/share.rs
+++ b/src/gateway/decision/share.rs
@@ -12,16 +12,16 @@
 
 /// How the requests of a window are allocated to routers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Draw {
+pub struct Allocation {
     /// Number of routers that may send.
     pub routers: usize,
     /// Requests that each of them may send in the window.
     pub each: usize,
     /// Number of routers, from the start of the order, that may send one more.
-    pub with_more: usize,
+    pub with_extra: usize,
 }
 
-impl Draw {
+impl Allocation {
     /// Allocates the requests of a window, at least one, to a fleet of `routers` routers.
     pub fn new(requests: usize, routers: usize) -> Self {
         let requests = requests.max(1);
@@ -29,15 +29,15 @@
         Self {
             routers: selected,
             each: requests / selected,
-            with_more: requests % selected,
+            with_extra: requests % selected,
         }
     }
 
     /// Requests that the router at this position of the order may send in the window.
-    pub fn part(&self, place: usize) -> usize {
+    pub fn quota(&self, place: usize) -> usize {
         if place >= self.routers {
             return 0;
         }
-        self.each + usize::from(place < self.with_more)
+        self.each + usize::from(place < self.with_extra)
     }
 }
--- a/src/gateway/targets/choice.rs
+++ b/src/gateway/targets/choice.rs
@@ -76,9 +76,9 @@
         let Some(cold_start) = self.cold_starts.get(&target.listing.service) else {
             return true;
         };
-        let draw = cold::draw(cold_start, routers.count());
+        let allocation = cold::allocation(cold_start, routers.count());
         let place = routers.place(now, &target.listing.instance);
-        place.is_some_and(|place| target.warmup.recent_sends(now) < draw.part(place))
+        place.is_some_and(|place| target.warmup.recent_sends(now) < allocation.quota(place))
     }
 
     /// Chooses a target for a plain request; `seed` draws among equals.
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -83,8 +83,8 @@
         }
     }
     // The only router of a fleet may send everything that the fleet may.
-    let draw = cold::draw(&COLD, 1);
-    assert_eq!((draw.routers, draw.each), (1, 5));
+    let allocation = cold::allocation(&COLD, 1);
+    assert_eq!((allocation.routers, allocation.each), (1, 5));
     assert!(usable(&targets, &alone, NOW).is_empty());
 }
 
