--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -230,14 +230,14 @@
 
 impl Budget {
     /// Counts a request, which adds to the budget.
-    pub fn note_request(&mut self, now: Millis, bound: &Bound) {
+    pub fn record_request(&mut self, now: Millis, bound: &Bound) {
         self.requests.push_back(now);
         self.expire(now, bound.window);
     }
 
     /// Charges a retry to this router's share in a fleet of `routers` routers. Returns `false` if the budget is used
     /// up.
-    pub fn take(&mut self, now: Millis, bound: &Bound, routers: usize) -> bool {
+    pub fn withdraw(&mut self, now: Millis, bound: &Bound, routers: usize) -> bool {
         self.expire(now, bound.window);
         let extra = bound.extra / routers.max(1) as f64;
         let allowed = bound.ratio * self.requests.len() as f64 + extra;
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -126,7 +126,7 @@
             .retry_budgets
             .entry(running.service.clone())
             .or_default();
-        budget.note_request(now, &self.settings.retries);
+        budget.record_request(now, &self.settings.retries);
         let key = JobKey(self.next_job);
         self.next_job += 1;
         Ok(self.place(now, key, running, target))
@@ -173,7 +173,7 @@
             .retry_budgets
             .entry(running.service.clone())
             .or_default();
-        if budget.take(now, &self.settings.retries, routers) {
+        if budget.withdraw(now, &self.settings.retries, routers) {
             Ok(target)
         } else {
             Err(Refusal::NoRepeats)
--- a/tests/host_sleep.rs
+++ b/tests/host_sleep.rs
@@ -56,7 +56,7 @@
     };
     let mut budget = Budget::default();
     let now = boot_clock::now();
-    assert!(budget.take(now, &bound, 1));
-    assert!(!budget.take(now, &bound, 1));
-    assert!(budget.take(now + SLEEP, &bound, 1));
+    assert!(budget.withdraw(now, &bound, 1));
+    assert!(!budget.withdraw(now, &bound, 1));
+    assert!(budget.withdraw(now + SLEEP, &bound, 1));
 }
