--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -50,7 +50,7 @@
 impl Health {
     /// Records an outcome. Returns whether the target should be ejected by its own statistics; the state of its group
     /// is checked by [`leaves_enough`].
-    pub fn note(&mut self, outcome: Outcome) -> bool {
+    pub fn record(&mut self, outcome: Outcome) -> bool {
         self.outcomes = self.outcomes.saturating_add(1);
         match outcome {
             Outcome::Answered { took } => {
--- a/src/gateway/targets/registry.rs
+++ b/src/gateway/targets/registry.rs
@@ -306,7 +306,7 @@
     pub fn note_outcome(&mut self, now: Millis, key: TargetKey, outcome: Outcome) -> bool {
         let target = self.get_mut(key);
         target.attempts.note(now, outcome);
-        let fails = target.health.note(outcome);
+        let fails = target.health.record(outcome);
         if !fails || target.health.is_ejected(now) {
             return false;
         }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -223,7 +223,7 @@
         let Some(outcome) = outcome else {
             return;
         };
-        if member.health.note(outcome) {
+        if member.health.record(outcome) {
             let group = (member.spec.kind, member.spec.serves.clone());
             if self.may_eject(now, &group) {
                 self.members[key.0 as usize].health.eject(now);
