--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -143,8 +143,8 @@
 
 impl Reason {
     /// The reason for a request whose time was over before anything was sent.
-    pub(in crate::gateway) fn before(over: Over) -> Self {
-        Self::of(Failure::before(over), Verdict::NotRun)
+    pub(in crate::gateway) fn expired_before_send(over: Over) -> Self {
+        Self::of(Failure::expired_before_send(over), Verdict::NotRun)
     }
 
     /// The reason for a request that is given up after a failed attempt. `verdict` covers all of its attempts: once one
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -69,7 +69,7 @@
 
 impl Failure {
     /// The failure of an attempt whose time was over before anything was sent.
-    pub(in crate::gateway) fn before(over: Over) -> Self {
+    pub(in crate::gateway) fn expired_before_send(over: Over) -> Self {
         match over {
             Over::Late => Self::Late,
             Over::Stop => Self::Stopping,
@@ -77,7 +77,7 @@
     }
 
     /// The failure of an attempt whose time was over while the target worked.
-    pub(in crate::gateway) fn during(over: Over) -> Self {
+    pub(in crate::gateway) fn expired_after_send(over: Over) -> Self {
         match over {
             Over::Late => Self::TimedOut,
             Over::Stop => Self::Cut,
