--- a/src/gateway/control/mod.rs
+++ b/src/gateway/control/mod.rs
@@ -33,7 +33,7 @@
 use self::context::Control;
 use self::waiting::{Waiting, answer};
 use super::attempt::{Message, Reply};
-use super::decision::admission::{self, Lack, Source};
+use super::decision::admission::{self, MissingTokens, Source};
 use super::decision::refusal::Refusal;
 use super::dialect::Dialect;
 use super::job::Job;
@@ -221,12 +221,12 @@
         reply,
     };
     let role = control.state.borrow_mut().role(control.now(), &customer);
-    let lack = Lack {
+    let missing = MissingTokens {
         role,
         refusal: shortage::reason(control, &waiting.job),
-        nothing_for: control.nothing_for(&customer),
+        unavailable_for: control.nothing_for(&customer),
     };
-    match admission::grant_source(&lack) {
+    match admission::grant_source(&missing) {
         Source::Store => {
             control.waiting.borrow_mut().push(waiting);
             control.renew_now(&customer);
--- a/src/gateway/decision/admission.rs
+++ b/src/gateway/decision/admission.rs
@@ -19,7 +19,7 @@
 
 /// How long tokens are not requested again after none of those asked had any. Equal to the shortest retry delay of
 /// a caller that was refused because of it.
-pub const NOTHING_PAUSE: Millis = Millis(250);
+pub const UNAVAILABLE_PAUSE: Millis = Millis(250);
 
 /// The properties of a request that decide its admission.
 #[derive(Clone, Copy, Debug)]
@@ -100,14 +100,14 @@
 
 /// What is known when a router lacks tokens for a request.
 #[derive(Clone, Copy, Debug)]
-pub struct Lack {
+pub struct MissingTokens {
     /// The router's role for the customer's budget.
     pub role: Role,
     /// Reason for refusing the request if no tokens are granted or lent.
     pub refusal: Refusal,
     /// Time since all that were asked had none of the customer's tokens; `None` if there was no such answer or
     /// something has changed since.
-    pub nothing_for: Option<Millis>,
+    pub unavailable_for: Option<Millis>,
 }
 
 /// Where to ask for the tokens that a waiting request lacks.
@@ -124,9 +124,11 @@
 /// Decides where to ask for tokens first. A holder of the customer's grants asks the store. A borrower asks the
 /// holders, as does every router while the store does not answer. While much is left of the budget, tokens may become
 /// available at any time, so they are requested even if nobody had any a moment ago.
-pub fn grant_source(lack: &Lack) -> Source {
-    let just_asked = lack.nothing_for.is_some_and(|ago| ago < NOTHING_PAUSE);
-    match (lack.refusal, lack.role) {
+pub fn grant_source(missing: &MissingTokens) -> Source {
+    let just_asked = missing
+        .unavailable_for
+        .is_some_and(|ago| ago < UNAVAILABLE_PAUSE);
+    match (missing.refusal, missing.role) {
         (Refusal::Scarce, _) if just_asked => Source::Nobody,
         (Refusal::CutOff, _) | (_, Role::Borrower) => Source::Peers,
         (_, Role::Holder) => Source::Store,
--- a/tests/decision_rules.rs
+++ b/tests/decision_rules.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use lanedeck::gateway::decision::admission::{self, Lack, Request, Source};
+use lanedeck::gateway::decision::admission::{self, MissingTokens, Request, Source};
 use lanedeck::gateway::decision::grant::{self, Need, Role, Sizing};
 use lanedeck::gateway::decision::refusal::{self, Outlook, Reason, Refusal, Shortage};
 use lanedeck::gateway::decision::retry::{self, Decision, Failure, History, Limit, Verdict};
@@ -276,10 +276,10 @@
     assert_eq!(admission::payer(customer, false), None);
     assert_eq!(admission::payer(None, true), None);
     let source = |role, refusal| {
-        admission::grant_source(&Lack {
+        admission::grant_source(&MissingTokens {
             role,
             refusal,
-            nothing_for: None,
+            unavailable_for: None,
         })
     };
     for refusal in [Refusal::Short, Refusal::Scarce] {
@@ -292,13 +292,13 @@
 
 #[test]
 fn nobody_has_tokens() {
-    let pause = admission::NOTHING_PAUSE;
+    let pause = admission::UNAVAILABLE_PAUSE;
     for role in [Role::Holder, Role::Borrower] {
         let source = |refusal, ms: Option<u64>| {
-            admission::grant_source(&Lack {
+            admission::grant_source(&MissingTokens {
                 role,
                 refusal,
-                nothing_for: ms.map(Millis),
+                unavailable_for: ms.map(Millis),
             })
         };
         let scarce = |ms| source(Refusal::Scarce, ms);
--- a/tests/gateway_loans.rs
+++ b/tests/gateway_loans.rs
@@ -10,7 +10,7 @@
 use deployment::store::Fault;
 use deployment::{Ask, CUSTOMER, Deployment, ask, config, until};
 use fleet::router;
-use lanedeck::gateway::decision::admission::NOTHING_PAUSE;
+use lanedeck::gateway::decision::admission::UNAVAILABLE_PAUSE;
 use lanedeck::gateway::members::{Members, Router, Source};
 use lanedeck::units::Millis;
 use serde_json::json;
@@ -170,7 +170,7 @@
         let request = Ask::talk(&format!("n{number}"), "/talk/x", MORE_THAN_GRANTED, 50);
         assert_eq!(ask(front, &request).await.status, 503);
     }
-    let pauses = begun.elapsed().as_millis() / u128::from(NOTHING_PAUSE.0) + 1;
+    let pauses = begun.elapsed().as_millis() / u128::from(UNAVAILABLE_PAUSE.0) + 1;
     // In each, peers are asked before the store and after it, by requests and by each renewal.
     let rounds = usize::try_from(4 * pauses).unwrap();
     let asked = nothing_lent(&log(1));
