--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -97,7 +97,7 @@
 
 /// The inputs of a retry delay.
 #[derive(Clone, Copy, Debug)]
-pub struct Outlook<'a> {
+pub struct RetryContext<'a> {
     /// The request's id.
     pub id: &'a str,
     /// How long the store has not answered; `None` if it answers.
@@ -197,16 +197,16 @@
 
     /// The retry delay, if the request has not run and a later retry may succeed. Jitter derived from the request's id
     /// adds up to the shortest delay again, so that callers refused together do not retry together.
-    pub fn retry_after(self, outlook: &Outlook<'_>) -> Option<Millis> {
-        let shortest = match (self, outlook.store_lost) {
+    pub fn retry_after(self, context: &RetryContext<'_>) -> Option<Millis> {
+        let shortest = match (self, context.store_lost) {
             // Without more information, an outage is assumed to last as long again as it already has.
-            (Self::NoConfig, None) => outlook.running.clamp(NO_CONFIG_RETRY, OUTAGE_RETRY_MAX),
+            (Self::NoConfig, None) => context.running.clamp(NO_CONFIG_RETRY, OUTAGE_RETRY_MAX),
             (Self::NoConfig | Self::Refused(Refusal::CutOff), Some(lost)) => {
                 lost.clamp(CUT_OFF_RETRY, OUTAGE_RETRY_MAX)
             }
             _ => self.shortest_retry()?,
         };
-        Some(with_jitter(shortest, outlook.id))
+        Some(with_jitter(shortest, context.id))
     }
 
     /// The shortest retry delay for this reason.
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -12,7 +12,7 @@
 
 use super::body::Body;
 use super::deadline::Deadline;
-use super::decision::refusal::{Outlook, Reason, Refusal};
+use super::decision::refusal::{Reason, Refusal, RetryContext};
 use super::decision::retry::Verdict;
 use super::decision::{admission, overload};
 use super::dialect;
@@ -127,7 +127,7 @@
     if matches!(reason, Reason::Refused(Refusal::Quarantined { .. })) {
         relay.shared.quarantine_refused.add(1);
     }
-    let retry_after = reason.retry_after(&Outlook {
+    let retry_after = reason.retry_after(&RetryContext {
         id,
         store_lost: relay.shared.store_lost(),
         running: Millis(relay.started.elapsed().as_millis() as u64),
--- a/tests/decision_rules.rs
+++ b/tests/decision_rules.rs
@@ -5,7 +5,7 @@
 
 use lanedeck::gateway::decision::admission::{self, MissingTokens, Request, Source};
 use lanedeck::gateway::decision::grant::{self, Need, Role, Sizing};
-use lanedeck::gateway::decision::refusal::{self, Outlook, Reason, Refusal, Shortage};
+use lanedeck::gateway::decision::refusal::{self, Reason, Refusal, RetryContext, Shortage};
 use lanedeck::gateway::decision::retry::{self, Decision, Failure, History, Limit, Verdict};
 use lanedeck::gateway::decision::stop::Plan;
 use lanedeck::gateway::route::{
@@ -120,7 +120,7 @@
 }
 
 fn retry_after_ms(reason: Reason, id: &str, store_lost: Option<Millis>) -> u64 {
-    let delay = reason.retry_after(&Outlook {
+    let delay = reason.retry_after(&RetryContext {
         id,
         store_lost,
         running: Millis(10),
@@ -146,12 +146,12 @@
     assert!(no_config(None) < 1_000);
     assert_eq!(no_config(Some(10)), lost(10));
     let no_config_for = |ms| {
-        let outlook = Outlook {
+        let context = RetryContext {
             id: "r1",
             store_lost: None,
             running: Millis(ms),
         };
-        Reason::NoConfig.retry_after(&outlook).unwrap().0
+        Reason::NoConfig.retry_after(&context).unwrap().0
     };
     assert_eq!(
         no_config_for(10),
@@ -173,12 +173,12 @@
         Reason::BrokenOff,
         Reason::Late,
     ] {
-        let outlook = Outlook {
+        let context = RetryContext {
             id: "r1",
             store_lost: None,
             running: Millis(10),
         };
-        assert_eq!(reason.retry_after(&outlook), None, "{reason:?}");
+        assert_eq!(reason.retry_after(&context), None, "{reason:?}");
     }
 }
 
