--- a/src/gateway/decision/quarantine.rs
+++ b/src/gateway/decision/quarantine.rs
@@ -33,7 +33,7 @@
 
 /// Selects the longest sequence of successive crashes from the crashes of a request. Both input and output are ordered
 /// by time.
-pub fn row(crashes: impl IntoIterator<Item = Crash>) -> Vec<Crash> {
+pub fn successive_crashes(crashes: impl IntoIterator<Item = Crash>) -> Vec<Crash> {
     let mut successive: Vec<Crash> = Vec::new();
     for crash in crashes {
         let is_next = |last: &Crash| crash.sent + ORDER_SLACK >= last.at;
@@ -46,7 +46,7 @@
 
 /// Number of successive crashes of a request.
 pub fn in_a_row(crashes: impl IntoIterator<Item = Crash>) -> usize {
-    row(crashes).len()
+    successive_crashes(crashes).len()
 }
 
 /// Whether another request with `other` successive crashes explains a crash that both requests were involved in; `own`
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -105,7 +105,7 @@
 
     /// Drops the oldest crash that does not lengthen the row, so that many at once do not push out those before.
     fn drop_least(&mut self) {
-        let row = quarantine::row(self.crashes.iter().copied());
+        let row = quarantine::successive_crashes(self.crashes.iter().copied());
         let least = self.crashes.iter().position(|crash| !row.contains(crash));
         self.crashes.remove(least.unwrap_or(0));
     }
