--- a/src/gateway/decision/admission.rs
+++ b/src/gateway/decision/admission.rs
@@ -39,7 +39,7 @@
 pub struct Terms<'a> {
     /// Its route.
     pub route: &'a Route,
-    /// Its customer; `None` for anonymous requests.
+    /// Its customer; `None` if its key is missing or unknown.
     pub customer: Option<&'a Customer>,
     /// Rank in a target's queue; 0 goes first.
     pub rank: u8,
--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -142,7 +142,7 @@
 }
 
 impl Reason {
-    /// The reason for a request whose time was over before anything was sent.
+    /// The reason for a request whose deadline, or that of a shutdown, passed before anything was sent.
     pub(in crate::gateway) fn expired_before_send(over: Over) -> Self {
         Self::of(Failure::expired_before_send(over), Verdict::NotRun)
     }
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -68,7 +68,7 @@
 }
 
 impl Failure {
-    /// The failure of an attempt whose time was over before anything was sent.
+    /// The failure of an attempt whose deadline, or that of a shutdown, passed before anything was sent.
     pub(in crate::gateway) fn expired_before_send(over: Over) -> Self {
         match over {
             Over::Late => Self::Late,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The failure of an attempt whose time was over while the target worked.
+    /// The failure of an attempt whose deadline, or that of a shutdown, passed while the target was processing it.
     pub(in crate::gateway) fn expired_after_send(over: Over) -> Self {
         match over {
             Over::Late => Self::TimedOut,
@@ -112,7 +112,7 @@
             | Self::Stopping
             | Self::Unwritable
             | Self::WrongInstance
-            // The target has not failed; the pause that it asked for is kept.
+            // The target has not failed; the pause that it asked for is respected elsewhere.
             | Self::AskedRest
             | Self::Cut => None,
         }
@@ -170,7 +170,7 @@
     Attempts,
     /// Connections to [`UNREACHED_MAX`] targets in a row failed.
     Unreached,
-    /// Its time is over.
+    /// Its deadline or that of a shutdown has passed.
     Time,
 }
 
