--- a/src/gateway/targets/attempts.rs
+++ b/src/gateway/targets/attempts.rs
@@ -1,31 +1,33 @@
-//! How recent attempts at a target ended: counts that decay, so that they can be added over routers.
+//! Outcomes of recent attempts at a target, as exponentially decaying counts. Unlike averages, counts of several
+//! routers can be added up.
 
 use crate::ejection::Outcome;
 use crate::units::Millis;
 
-/// Time constant of the decay, in milliseconds.
-const MEMORY: f64 = 3_000.0;
-/// Counts below this are not told to other routers.
-const TOLD_MIN: f64 = 0.1;
-/// Attempts that are taken to have been answered before any are known, so that one failure alone does
-/// not make a target look broken.
-const PRIOR: f64 = 2.0;
+/// Time constant of the exponential decay.
+const DECAY_TIME_MS: f64 = 3_000.0;
+/// Counts below this are not reported to other routers.
+const REPORTED_MIN: f64 = 0.1;
+/// Answered attempts assumed in advance, so that a single failure with no other attempts does not make a target
+/// look broken.
+const PRIOR_ANSWERED: f64 = 2.0;
 
 /// Decaying counts of attempts at one target.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Attempts {
-    /// Attempts that failed.
+    /// Failed attempts.
     pub failed: f64,
-    /// Attempts that were answered.
+    /// Answered attempts.
     pub answered: f64,
+    /// Time up to which the counts are decayed.
     at: Millis,
 }
 
 impl Attempts {
-    /// The counts as they have decayed by `now`.
+    /// Returns the counts decayed to `now`.
     pub fn at(self, now: Millis) -> Self {
         let elapsed = now.saturating_sub(self.at).0 as f64;
-        let decay = (-elapsed / MEMORY).exp();
+        let decay = (-elapsed / DECAY_TIME_MS).exp();
         Self {
             failed: self.failed * decay,
             answered: self.answered * decay,
@@ -33,8 +35,8 @@
         }
     }
 
-    /// Counts an attempt.
-    pub fn note(&mut self, now: Millis, outcome: Outcome) {
+    /// Counts the outcome of an attempt.
+    pub fn record(&mut self, now: Millis, outcome: Outcome) {
         *self = self.at(now);
         match outcome {
             Outcome::Failed => self.failed += 1.0,
@@ -42,15 +44,16 @@
         }
     }
 
-    /// Whether there is too little to tell.
-    pub fn is_quiet(&self) -> bool {
-        self.failed < TOLD_MIN && self.answered < TOLD_MIN
+    /// Whether both counts are too small to be reported to other routers.
+    pub fn is_negligible(&self) -> bool {
+        self.failed < REPORTED_MIN && self.answered < REPORTED_MIN
     }
 
-    /// Share of attempts that failed, with those that other routers tell of; few say little.
-    pub fn failing(&self, failed_elsewhere: f64, answered_elsewhere: f64) -> f64 {
+    /// Share of failed attempts, 0 to 1, including those of other routers. `PRIOR_ANSWERED` keeps it low while there
+    /// are few attempts.
+    pub fn failure_share(&self, failed_elsewhere: f64, answered_elsewhere: f64) -> f64 {
         let failed = self.failed + failed_elsewhere;
         let answered = self.answered + answered_elsewhere;
-        failed / (failed + answered + PRIOR)
+        failed / (failed + answered + PRIOR_ANSWERED)
     }
 }
--- a/src/gateway/targets/choice.rs
+++ b/src/gateway/targets/choice.rs
@@ -1,8 +1,8 @@
-//! Which of the listed targets a request may be sent to, and the choice among them.
+//! Filters the listed targets down to those that a request may be sent to, and chooses among them.
 //!
-//! Left out are, in this order, those that were tried or are barred by their own word, those in halls that are
-//! emptied, those that the list lacks, those that are ejected and those that are cold; what is left goes to
-//! [`placement`]. Each step says when it leaves all in.
+//! Targets are excluded in this order: those already tried or barred by their own announcements, those in evacuated
+//! halls, those missing from the store's list, those ejected, and those cold. [`placement`] chooses among the rest.
+//! The documentation of each step says when it excludes nothing.
 
 use super::registry::Targets;
 use crate::gateway::decision::cold;
@@ -13,35 +13,43 @@
 use crate::units::Millis;
 
 impl Targets {
-    /// Targets of a service that take requests.
-    pub(super) fn open(&self, service: &str) -> impl Iterator<Item = TargetKey> {
+    /// Targets of a service that accept requests.
+    pub(super) fn accepting(&self, service: &str) -> impl Iterator<Item = TargetKey> {
         let group = self.by_service.get(service).map_or(&[][..], Vec::as_slice);
-        group.iter().copied().filter(|key| self.get(*key).is_open())
+        group
+            .iter()
+            .copied()
+            .filter(|key| self.get(*key).accepts_requests())
     }
 
-    /// Whether a service has targets that take requests, all of them in halls that are emptied.
+    /// Whether a service has targets that accept requests, but all of them are in evacuated halls.
     pub fn is_evacuated(&self, service: &str) -> bool {
-        let mut open = self.open(service).peekable();
-        open.peek().is_some() && open.all(|key| self.is_emptied(key))
+        let mut open = self.accepting(service).peekable();
+        open.peek().is_some() && open.all(|key| self.is_in_evacuated_hall(key))
     }
 
-    fn is_emptied(&self, key: TargetKey) -> bool {
+    fn is_in_evacuated_hall(&self, key: TargetKey) -> bool {
         self.evacuated.contains(&self.get(key).listing.hall)
     }
 
-    /// Targets of a service that a request may be sent to, without those to be left out, which were tried or are barred
-    /// by their own word, and those in halls that are emptied. Ejected ones are left out unless there are no others.
-    pub fn candidates(&self, now: Millis, service: &str, left_out: &[TargetKey]) -> Vec<TargetKey> {
-        let open = self.open(service).filter(|key| !left_out.contains(key));
-        let open: Vec<TargetKey> = open.filter(|key| !self.is_emptied(*key)).collect();
+    /// Targets of a service that a request may be sent to. `excluded` holds the targets that were already tried or are
+    /// barred by their own announcements. Targets in evacuated halls are never returned; ejected ones only if no
+    /// others are left.
+    pub fn candidates(&self, now: Millis, service: &str, excluded: &[TargetKey]) -> Vec<TargetKey> {
+        let open = self
+            .accepting(service)
+            .filter(|key| !excluded.contains(key));
+        let open: Vec<TargetKey> = open
+            .filter(|key| !self.is_in_evacuated_hall(*key))
+            .collect();
         let open = self.avoid_missing(open);
-        let is_well = |key: &TargetKey| !self.get(*key).health.is_ejected(now);
-        let well: Vec<TargetKey> = open.iter().copied().filter(is_well).collect();
-        if well.is_empty() { open } else { well }
+        let is_healthy = |key: &TargetKey| !self.get(*key).health.is_ejected(now);
+        let healthy: Vec<TargetKey> = open.iter().copied().filter(is_healthy).collect();
+        if healthy.is_empty() { open } else { healthy }
     }
 
-    /// Takes out the targets that the list lacks, unless those are more than the others: then entries have lapsed while
-    /// the store was away, and those that are back first would get all requests.
+    /// Removes the targets that are missing from the store's list, unless they are the majority: then their entries
+    /// expired during an outage of the store, and the few targets that are listed again first would get all requests.
     fn avoid_missing(&self, mut open: Vec<TargetKey>) -> Vec<TargetKey> {
         let missing = open.iter().filter(|key| self.get(**key).is_missing).count();
         if missing * 2 <= open.len() {
@@ -50,8 +58,8 @@
         open
     }
 
-    /// Takes cold targets out of the candidates while a warm one has a free slot; else those stay to which this one of
-    /// the routers may send.
+    /// Removes cold targets from the candidates while a warm one has a free slot. Otherwise keeps those cold targets to
+    /// which this router may send.
     pub fn avoid_cold(
         &self,
         now: Millis,
@@ -62,15 +70,15 @@
         if !candidates.iter().any(is_cold) {
             return candidates;
         }
-        let has_room = |key: &TargetKey| !is_cold(key) && self.get(*key).has_room(now);
-        let has_warm_room = candidates.iter().any(has_room);
+        let has_free_slot = |key: &TargetKey| !is_cold(key) && self.get(*key).has_free_slot(now);
+        let has_warm_slot = candidates.iter().any(has_free_slot);
         candidates.retain(|key| {
-            !is_cold(key) || (!has_warm_room && self.may_send_cold(now, routers, *key))
+            !is_cold(key) || (!has_warm_slot && self.may_send_cold(now, routers, *key))
         });
         candidates
     }
 
-    /// Whether this one of the routers may send one more request to a cold target.
+    /// Whether this router's share of a cold target's capacity allows one more request.
     fn may_send_cold(&self, now: Millis, routers: &Members, key: TargetKey) -> bool {
         let target = self.get(key);
         let Some(cold_start) = self.cold_starts.get(&target.listing.service) else {
@@ -81,7 +89,7 @@
         place.is_some_and(|place| target.warmup.recent_sends(now) < draw.part(place))
     }
 
-    /// Chooses a target for a plain request; `seed` draws among equals.
+    /// Chooses a target for a plain request; `seed` breaks ties.
     pub fn choose_plain(
         &self,
         now: Millis,
@@ -109,7 +117,7 @@
             ModelCandidate {
                 target: target.candidate(now, *key, hall),
                 affinity: placement::affinity(&target.listing.instance, last),
-                uncached: self.cache.uncached(now, *key, shared),
+                uncached: self.cache.uncached_tokens(now, *key, shared),
             }
         };
         let candidates: Vec<ModelCandidate> = candidates.iter().map(candidate).collect();
--- a/src/gateway/targets/mod.rs
+++ b/src/gateway/targets/mod.rs
@@ -1,6 +1,5 @@
-//! The targets as a gateway knows them: which there are, how busy each is, and how attempts there
-//! ended. Which of them a request may be sent to is in `choice`; which of those it is sent to is
-//! [`placement`](super::decision::placement)'s decision.
+//! A gateway's state about targets: which ones exist, how busy each is, and the outcomes of recent attempts. `choice`
+//! filters those that a request may be sent to; [`placement`](super::decision::placement) picks one of them.
 
 mod attempts;
 mod cache;
--- a/src/gateway/targets/notices.rs
+++ b/src/gateway/targets/notices.rs
@@ -1,7 +1,7 @@
-//! What targets say of themselves, and which of them a request may not be sent to for it.
+//! Applies what targets announce of themselves, and determines which of them may not get requests because of it.
 //!
-//! A target's own word binds: unlike an ejection, which this router infers, it holds also where it leaves a service
-//! without a target. What it says ends with its incarnation.
+//! Announcements are binding: unlike an ejection, which this router infers, they apply even if no target of the service
+//! remains. They end with the target's incarnation.
 
 use super::registry::Targets;
 use crate::gateway::decision::limit::{self, Usage};
@@ -10,13 +10,14 @@
 use crate::gateway::notice::{Notice, Report, Said, Word};
 use crate::units::Millis;
 
-/// Longest rest that is kept: a target that wants nothing for longer has to leave.
-const REST_MAX: Millis = Millis(3_600_000);
-/// Reports in a message to another router, at most: a kilobyte and a half.
+/// Longest back-off that is applied: a target that wants no requests for longer has to announce that it leaves.
+const BACKOFF_MAX: Millis = Millis(3_600_000);
+/// Maximum number of reports in a message to another router, about 1.5 kB.
 const REPORTS_MAX: usize = 64;
 
 impl Targets {
-    /// Takes in what the answer to a request says that was sent at `sent`; the words that are news.
+    /// Applies the notice in the response to a request that was sent at `sent`. Returns the announcements that changed
+    /// something.
     pub fn hear(
         &mut self,
         now: Millis,
@@ -27,12 +28,12 @@
         let target = self.get_mut(key);
         let mut news = Vec::new();
         if let Ok(rate) = notice.rate_limit
-            && target.limit.hear(now, sent, rate)
+            && target.limit.observe(now, sent, rate)
         {
-            news.extend(target.limit.word(now));
+            news.extend(target.limit.announcement(now));
         }
         if let Ok(Some(rest)) = notice.rest {
-            target.rests_until = target.rests_until.max(now + rest.min(REST_MAX));
+            target.backoff_until = target.backoff_until.max(now + rest.min(BACKOFF_MAX));
         }
         if notice.is_leaving == Ok(true) && !std::mem::replace(&mut target.is_leaving, true) {
             news.push(Word::Leaving);
@@ -40,7 +41,7 @@
         news
     }
 
-    /// Takes in what another router tells; the target, where that is news.
+    /// Merges another router's report. Returns the target if the report changed something.
     pub fn merge(&mut self, now: Millis, report: &Report) -> Option<TargetKey> {
         let key = *self.by_hash.get(&report.instance)?;
         let target = self.get_mut(key);
@@ -51,15 +52,15 @@
         is_news.then_some(key)
     }
 
-    /// What other routers are told of what targets said; where that is too much for one message, each `turn` another
-    /// part.
+    /// The current announcements and recently ended limits, for other routers. If they do not fit in one message, each
+    /// `turn` selects another part.
     pub fn reports(&self, now: Millis, turn: usize) -> Vec<Report> {
-        let living = self.known().filter(|target| !target.ended.is_cancelled());
-        let reports = living.flat_map(|target| {
+        let current = self.known().filter(|target| !target.ended.is_cancelled());
+        let reports = current.flat_map(|target| {
             let instance = target.hash();
             let leaving = target.is_leaving.then_some(Word::Leaving);
-            let words = target.limit.word(now).into_iter().chain(leaving);
-            words.map(move |word| Report { instance, word })
+            let announcements = target.limit.announcement(now).into_iter().chain(leaving);
+            announcements.map(move |word| Report { instance, word })
         });
         let mut reports: Vec<Report> = reports.collect();
         if reports.len() > REPORTS_MAX {
@@ -70,14 +71,14 @@
         reports
     }
 
-    /// What targets say that are listed, for operators.
+    /// What the listed targets currently announce, for operators.
     pub fn said(&self, now: Millis) -> Vec<Said> {
         let said = self.listed().filter_map(|target| {
             let said = Said {
                 instance: target.listing.instance.clone(),
                 rate_limit: target.limit.in_force().map(|(rate, _)| rate),
                 is_leaving: target.is_leaving,
-                rest_left: target.rests_until.saturating_sub(now),
+                rest_left: target.backoff_until.saturating_sub(now),
             };
             let is_resting = said.rest_left > Millis::ZERO;
             (said.rate_limit.is_some() || said.is_leaving || is_resting).then_some(said)
@@ -85,64 +86,65 @@
         said.collect()
     }
 
-    /// The targets of a service that take requests, but none of this router's now by their own word.
+    /// The targets of a service that accept requests, but because of their announcements none from this router now.
     pub fn barred(&self, now: Millis, routers: &Members, service: &str) -> Barred {
         let mut barred = Barred::default();
-        for key in self.open(service) {
+        for key in self.accepting(service) {
             match self.next_send(routers, now, key) {
-                Next::At(at) if at <= now => {}
-                Next::At(at) => {
+                NextSend::At(at) if at <= now => {}
+                NextSend::At(at) => {
                     barred.targets.push(key);
                     barred.until = Some(barred.until.map_or(at, |until| until.min(at)));
                 }
-                Next::Unknown => barred.targets.push(key),
+                NextSend::Unknown => barred.targets.push(key),
             }
         }
         barred
     }
 
-    /// Notes that a request is sent to a target, which counts towards what it takes by its own word.
+    /// Counts a request sent to a target towards the target's rate limit.
     pub fn note_send(&mut self, now: Millis, routers: &Members, key: TargetKey) {
-        if let Some(usage) = self.limit_use(now, routers, key) {
+        if let Some(usage) = self.limit_usage(now, routers, key) {
             let sent = limit::sent(now, &usage);
-            self.get_mut(key).limit.note_send(sent);
+            self.get_mut(key).limit.record_send(sent);
         }
     }
 
-    fn next_send(&self, routers: &Members, now: Millis, key: TargetKey) -> Next {
-        let rested = self.get(key).rests_until;
-        match self.limit_use(now, routers, key) {
-            Some(usage) => limit::next(&usage).map_or(Next::Unknown, |at| Next::At(at.max(rested))),
-            None => Next::At(rested),
+    fn next_send(&self, routers: &Members, now: Millis, key: TargetKey) -> NextSend {
+        let backoff_until = self.get(key).backoff_until;
+        match self.limit_usage(now, routers, key) {
+            Some(usage) => limit::next(&usage)
+                .map_or(NextSend::Unknown, |at| NextSend::At(at.max(backoff_until))),
+            None => NextSend::At(backoff_until),
         }
     }
 
-    /// What decides how much of a target's limit this router may use, where it has one.
-    fn limit_use(&self, now: Millis, routers: &Members, key: TargetKey) -> Option<Usage> {
+    /// The state that determines this router's share of a target's rate limit, if the target has one.
+    fn limit_usage(&self, now: Millis, routers: &Members, key: TargetKey) -> Option<Usage> {
         let target = self.get(key);
         let (limit, since) = target.limit.in_force()?;
         Some(Usage {
             limit,
             since,
-            last: target.limit.last(),
+            last: target.limit.last_send(),
             routers: routers.count(),
             place: routers.place(now, &target.listing.instance),
         })
     }
 }
 
-/// Targets that take none of this router's requests now.
+/// Targets that accept no requests from this router at the moment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Barred {
     /// The targets.
     pub targets: Vec<TargetKey>,
-    /// When the first of them takes one again, where that is known.
+    /// When the first of them accepts requests again, if known.
     pub until: Option<Millis>,
 }
 
-/// When this router may send a request to a target by the target's own word; a time that is over is now.
-enum Next {
+/// When this router may next send a request to a target according to its announcements; a past time means now.
+enum NextSend {
     At(Millis),
-    /// Others use what it takes.
+    /// Other routers have all shares of the target's rate limit.
     Unknown,
 }
--- a/src/gateway/targets/registry.rs
+++ b/src/gateway/targets/registry.rs
@@ -1,8 +1,7 @@
-//! The targets that are or were of late listed, with what this router knows of each incarnation.
+//! Registry of the targets that are listed or recently were, with this router's state of each incarnation.
 //!
-//! The registry owns each target's entry, its requests of this router, its load and its health. It
-//! relies on its caller for the time, and to say that a request has begun and ended at a target
-//! exactly once each.
+//! The registry owns each target's entry, this router's requests there, its load and its health. It relies on its
+//! caller for the time, and to report the begin and the end of each request at a target exactly once.
 
 use std::borrow::Borrow;
 use std::collections::{BTreeSet, HashMap, HashSet};
@@ -19,64 +18,65 @@
 use crate::gateway::route::ColdStart;
 use crate::units::Millis;
 
-/// How long other routers are told that a target was removed: longer than a router that was cut off
-/// from the store takes to hear of it over the links.
-const REMOVED_TOLD: Millis = Millis(15_000);
+/// How long the removal of a target is reported to other routers: longer than a router that is cut off from the store
+/// takes to learn of it over the links.
+const REMOVED_REPORTED_FOR: Millis = Millis(15_000);
 
-/// Targets of which others are told in a heartbeat: those where this router has most. Without a bound a heartbeat
-/// grows with the targets, so the bytes of a fleet that grows with them grow faster than its square.
-const TOLD_MAX: usize = 64;
-/// How long an incarnation that has ended, and that no request is at any more, is remembered: longer than others
-/// speak of it.
-const ENDED_REMEMBERED: Millis = Millis(60_000);
+/// Maximum number of targets in a heartbeat; those with most of this router's requests are included. Without a bound,
+/// heartbeats grow with the number of targets, so the heartbeat traffic of a fleet that grows along with its targets
+/// grows faster than the square of its size.
+const OUTSTANDING_MAX: usize = 64;
+/// How long an ended or unlisted incarnation is kept after its last request: longer than other routers report on it.
+const ENDED_RETAINED_FOR: Millis = Millis(60_000);
 
-/// All targets. What has ended leaves an empty place, so that no key is used twice: eight bytes for each, 440 kB in a
-/// year of 150 restarts a day.
+/// All targets. An incarnation that is removed leaves an empty slot so that its key is never reused. A slot takes
+/// 8 bytes: 440 kB in a year of 150 restarts a day.
 #[derive(Debug, Default)]
 pub struct Targets {
     all: Vec<Option<Box<Target>>>,
     by_instance: HashMap<String, TargetKey>,
-    /// The newest incarnation of each target, by its id.
+    /// The newest incarnation of each target, by target id.
     by_id: HashMap<String, TargetKey>,
     pub(super) by_hash: HashMap<u64, TargetKey>,
     pub(super) by_service: HashMap<String, Vec<TargetKey>>,
     pub(super) cache: Cache,
+    /// Instances recently removed from the list, and when.
     removed: HashMap<String, Millis>,
-    /// Halls whose targets get nothing.
+    /// Halls whose targets get no requests.
     pub(super) evacuated: BTreeSet<String>,
-    /// How targets are after a start, by service.
+    /// Cold start parameters, by service.
     pub(super) cold_starts: HashMap<String, ColdStart>,
 }
 
-/// Whether an entry of the list may be older than what is known of its target.
+/// Whether a list entry may be older than the known state of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It is the newest word on its target.
+    /// It is the newest entry of its target.
     Newest,
     /// It may be older.
     MayBeOld,
 }
 
-/// How an entry differs from what was known of its target.
+/// How an entry changes the known state of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The target was not known.
+    /// The target was unknown.
     Added,
-    /// The target has started again: its former incarnation has ended.
+    /// The target has restarted: its former incarnation has ended.
     Restarted {
         /// The former incarnation.
         former: TargetKey,
     },
-    /// It takes no more requests.
+    /// It no longer accepts requests.
     Leaving,
-    /// It takes requests again.
+    /// It accepts requests again.
     Returned,
-    /// Nothing that matters.
+    /// No relevant change.
     Same,
 }
 
 impl Targets {
-    /// Takes in an entry of the list, whose newest word on a target counts, whatever start it tells.
+    /// Applies an entry read from the store. The store's newest entry is authoritative, whatever start time it has.
     pub fn list(&mut self, listing: Listing) -> Change {
         let known = self.by_instance.get(&listing.instance).copied();
         let known = known.filter(|key| !self.get(*key).ended.is_cancelled());
@@ -85,24 +85,23 @@
         };
         self.removed.remove(&listing.instance);
         let target = self.get_mut(key);
-        let was_open = target.is_listed_open();
+        let was_ready = target.is_listed_ready();
         let is_ready = listing.is_ready;
         target.listing = listing;
         target.is_listed = true;
         target.is_missing = false;
-        match (was_open, is_ready) {
+        match (was_ready, is_ready) {
             (true, false) => Change::Leaving,
             (false, true) => Change::Returned,
             _ => Change::Same,
         }
     }
 
-    /// Takes in an entry that may be older than what is known: another router has read the list earlier, or the store
-    /// has come back from a copy. Neither a target that is known to leave or to be gone nor a former incarnation comes
-    /// back by it.
+    /// Applies an entry that may be outdated, since another router read it earlier or the store was restored from a
+    /// copy. It cannot bring back a target that is known to be leaving or removed, or a former incarnation.
     pub fn list_maybe_old(&mut self, listing: Listing) -> Change {
         if let Some(key) = self.by_instance.get(&listing.instance)
-            && !self.get(*key).is_open()
+            && !self.get(*key).accepts_requests()
         {
             return Change::Same;
         }
@@ -114,7 +113,7 @@
         self.list(listing)
     }
 
-    /// Adds an incarnation; the former one of its target has ended.
+    /// Adds an incarnation, and ends the former one of the same target.
     fn add(&mut self, listing: Listing) -> Change {
         let id = incarnation::id(&listing.instance).to_owned();
         let former = self.by_id.get(&id).copied();
@@ -132,65 +131,65 @@
         former.map_or(Change::Added, |former| Change::Restarted { former })
     }
 
-    /// Ends an incarnation: what waits there is told.
+    /// Ends an incarnation, and notifies the requests that wait there.
     fn end_incarnation(&mut self, key: TargetKey) {
         let target = self.get_mut(key);
         target.is_listed = false;
         target.ended.cancel();
     }
 
-    /// Removes a target from the list, by its id or by the name of its incarnation; whether it was there.
+    /// Removes a target from the list, by its id or by the name of its incarnation. Returns whether it was listed.
     pub fn unlist(&mut self, now: Millis, name: &str) -> bool {
         let by_instance = self.by_instance.get(name);
         let Some(key) = by_instance.or_else(|| self.by_id.get(name)).copied() else {
             return false;
         };
         self.removed
-            .retain(|_, at| now.saturating_sub(*at) < REMOVED_TOLD);
+            .retain(|_, at| now.saturating_sub(*at) < REMOVED_REPORTED_FOR);
         let instance = self.get(key).listing.instance.clone();
         self.removed.insert(instance, now);
         std::mem::replace(&mut self.get_mut(key).is_listed, false)
     }
 
-    /// Sets which halls the operators have emptied. The targets of one that is taken back may have turned cold
-    /// shortly before, which their entries tell some seconds later.
+    /// Sets the halls that operators have evacuated. Targets of a hall that is no longer evacuated are treated as cold,
+    /// since they may just have turned cold and their entries only show it some seconds later.
     pub fn set_evacuated(&mut self, now: Millis, halls: &BTreeSet<String>) {
         let before = std::mem::replace(&mut self.evacuated, halls.clone());
         for target in self.all.iter_mut().flatten() {
             let hall = &target.listing.hall;
             if before.contains(hall) && !halls.contains(hall) {
                 let left = cold_time(&self.cold_starts, &target.listing.service);
-                target.warmup.note(now, left);
+                target.warmup.extend(now, left);
             }
         }
     }
 
-    /// Sets how targets are after a start, by service.
+    /// Sets the cold start parameters, by service.
     pub fn set_cold_starts(&mut self, cold_starts: HashMap<String, ColdStart>) {
         self.cold_starts = cold_starts;
     }
 
-    /// Notes that a target is cold for so long.
+    /// Records that a target stays cold for `left`.
     pub fn note_cold(&mut self, now: Millis, instance: &str, left: Millis) {
         if let Some(key) = self.by_instance.get(instance).copied() {
-            self.get_mut(key).warmup.note(now, left);
+            self.get_mut(key).warmup.extend(now, left);
         }
     }
 
-    /// Notes that a target has just started, as far as this router knows: it is cold for the whole time of its
+    /// Records that a target has, as far as this router knows, just started: it is cold for the full cold time of its
     /// service.
     pub fn note_started(&mut self, now: Millis, instance: &str) {
         let Some(key) = self.by_instance.get(instance).copied() else {
             return;
         };
         let left = cold_time(&self.cold_starts, &self.get(key).listing.service);
-        self.get_mut(key).warmup.note(now, left);
+        self.get_mut(key).warmup.extend(now, left);
     }
 
-    /// Forgets incarnations that have ended, or have not been listed for long, once no request is there.
+    /// Removes incarnations that have been unlisted and without requests for `ENDED_RETAINED_FOR`.
     pub fn forget(&mut self, now: Millis) {
-        let mut forgotten = Vec::new();
-        for (place, target) in self.all.iter_mut().enumerate() {
+        let mut expired = Vec::new();
+        for (index, target) in self.all.iter_mut().enumerate() {
             let Some(target) = target else {
                 continue;
             };
@@ -199,11 +198,11 @@
                 continue;
             }
             let since = *target.unused_since.get_or_insert(now);
-            if now.saturating_sub(since) >= ENDED_REMEMBERED {
-                forgotten.push(TargetKey(place));
+            if now.saturating_sub(since) >= ENDED_RETAINED_FOR {
+                expired.push(TargetKey(index));
             }
         }
-        for key in forgotten {
+        for key in expired {
             self.drop_target(key);
         }
     }
@@ -214,23 +213,24 @@
         };
         let listing = &target.listing;
         let id = incarnation::id(&listing.instance);
-        remove_if(&mut self.by_instance, &listing.instance, key);
-        remove_if(&mut self.by_id, id, key);
-        remove_if(&mut self.by_hash, &target.hash(), key);
+        remove_if_owned(&mut self.by_instance, &listing.instance, key);
+        remove_if_owned(&mut self.by_id, id, key);
+        remove_if_owned(&mut self.by_hash, &target.hash(), key);
         if let Some(group) = self.by_service.get_mut(&listing.service) {
             group.retain(|other| *other != key);
         }
-        self.cache.forget(key);
+        self.cache.remove_target(key);
     }
 
-    /// Notes that the list that was read lacks a target, which stays for a while: its entry may only have lapsed.
+    /// Records that a target is missing from the list that was read. It is kept for a while, since its entry may only
+    /// have expired.
     pub fn note_missing(&mut self, instance: &str) {
         if let Some(key) = self.by_instance.get(instance).copied() {
             self.get_mut(key).is_missing = true;
         }
     }
 
-    /// The list, for a router that cannot read it.
+    /// The list of targets, for a router that cannot read the store.
     pub fn view(&self) -> View {
         View {
             listed: self.listed().map(|target| target.listing.clone()).collect(),
@@ -238,7 +238,7 @@
         }
     }
 
-    /// The targets that are listed.
+    /// The listed targets.
     pub fn listed(&self) -> impl Iterator<Item = &Target> {
         self.known().filter(|target| target.is_listed)
     }
@@ -248,7 +248,7 @@
         self.listed().map(|target| target.listing.address).collect()
     }
 
-    /// How many incarnations are remembered.
+    /// Number of incarnations in the registry.
     pub fn known_count(&self) -> usize {
         self.known().count()
     }
@@ -257,60 +257,63 @@
         self.all.iter().flatten().map(Box::as_ref)
     }
 
-    /// A target.
+    /// Returns a target.
     ///
     /// # Panics
-    /// Where it has been forgotten: whoever has a request there keeps it from being.
+    /// If the target has been removed. It is not removed while it has requests.
     pub fn get(&self, key: TargetKey) -> &Target {
         let target = self.all[key.0].as_ref();
-        target.expect("a target is known for as long as a request is there")
+        target.expect("a target is not removed while it has requests")
     }
 
     pub(super) fn get_mut(&mut self, key: TargetKey) -> &mut Target {
         let target = self.all[key.0].as_mut();
-        target.expect("a target is known for as long as a request is there")
+        target.expect("a target is not removed while it has requests")
     }
 
-    /// Counts a request that is sent there, with so many tokens of prompt.
+    /// Counts a request sent to a target, and the tokens of its prompt.
     pub fn begin(&mut self, now: Millis, key: TargetKey, prompt_tokens: u64) {
         let target = self.get_mut(key);
-        target.warmup.note_send(now);
+        target.warmup.record_send(now);
         target.in_flight += 1;
         target.backlog += prompt_tokens;
     }
 
-    /// Counts that a target has begun to answer, and so has processed a prompt of so many tokens.
+    /// Subtracts a prompt from a target's backlog: its response has begun, so the prompt has been processed.
     pub fn prefilled(&mut self, key: TargetKey, prompt_tokens: u64) {
         let target = self.get_mut(key);
         target.backlog = target.backlog.saturating_sub(prompt_tokens);
     }
 
-    /// Counts that a request has ended there.
+    /// Counts the end of a request at a target.
     pub fn end(&mut self, key: TargetKey) {
         let target = self.get_mut(key);
-        assert!(target.in_flight > 0, "a request that ends has begun");
+        assert!(
+            target.in_flight > 0,
+            "a request ends only after it has begun"
+        );
         target.in_flight -= 1;
     }
 
-    /// Notes the load that a target reported.
+    /// Records the load that a target reported.
     pub fn note_load(&mut self, now: Millis, key: TargetKey, load: Load) {
         self.get_mut(key).load = Some((now, load));
     }
 
-    /// Notes the blocks that a target has most likely cached now.
+    /// Records the blocks of a prompt as cached by a target.
     pub fn note_prompt(&mut self, now: Millis, key: TargetKey, prompt: &Prompt) {
-        self.cache.note(now, key, prompt);
+        self.cache.record_prompt(now, key, prompt);
     }
 
-    /// Notes how an attempt ended there; whether the target is ejected by it.
+    /// Records the outcome of an attempt at a target; returns whether the target is ejected because of it.
     pub fn note_outcome(&mut self, now: Millis, key: TargetKey, outcome: Outcome) -> bool {
         let target = self.get_mut(key);
-        target.attempts.note(now, outcome);
-        let fails = target.health.note(outcome);
-        if !fails || target.health.is_ejected(now) {
+        target.attempts.record(now, outcome);
+        let fails_too_often = target.health.note(outcome);
+        if !fails_too_often || target.health.is_ejected(now) {
             return false;
         }
-        let open = self.open(&self.get(key).listing.service);
+        let open = self.accepting(&self.get(key).listing.service);
         let (mut usable, mut ejected) = (0, 0);
         for key in open {
             usable += 1;
@@ -323,7 +326,8 @@
         true
     }
 
-    /// Notes that a target has crashed: it gets no requests for as long as one ejection lasts, however many it had.
+    /// Ejects a target that has crashed, unless it is ejected already: it gets no requests for the length of one
+    /// ejection, however many requests it had.
     pub fn note_crash(&mut self, now: Millis, key: TargetKey) {
         let target = self.get_mut(key);
         if !target.health.is_ejected(now) {
@@ -331,7 +335,7 @@
         }
     }
 
-    /// Replaces what other routers have at the targets.
+    /// Replaces the other routers' outstanding requests and attempts at the targets.
     pub fn set_others<'a>(&mut self, others: impl Iterator<Item = &'a Outstanding>) {
         for target in self.all.iter_mut().flatten() {
             target.others = Outstanding::default();
@@ -348,12 +352,12 @@
         }
     }
 
-    /// What this router has at the targets where it has most, for the other routers.
+    /// This router's outstanding requests, for the other routers. Bounded to the targets with most of them.
     pub fn outstanding(&self, now: Millis) -> Vec<Outstanding> {
-        let told = self.known().filter_map(|target| {
+        let reported = self.known().filter_map(|target| {
             let attempts = target.attempts.at(now);
-            let is_worth_telling = target.in_flight > 0 || !attempts.is_quiet();
-            is_worth_telling.then(|| Outstanding {
+            let is_reported = target.in_flight > 0 || !attempts.is_negligible();
+            is_reported.then(|| Outstanding {
                 instance: target.hash(),
                 in_flight: target.in_flight,
                 backlog: target.backlog,
@@ -361,24 +365,24 @@
                 answered: attempts.answered as f32,
             })
         });
-        let mut told: Vec<Outstanding> = told.collect();
-        if told.len() > TOLD_MAX {
-            let weight = |one: &Outstanding| (one.in_flight, one.backlog);
-            told.select_nth_unstable_by(TOLD_MAX, |a, b| weight(b).cmp(&weight(a)));
-            told.truncate(TOLD_MAX);
+        let mut reported: Vec<Outstanding> = reported.collect();
+        if reported.len() > OUTSTANDING_MAX {
+            let weight = |entry: &Outstanding| (entry.in_flight, entry.backlog);
+            reported.select_nth_unstable_by(OUTSTANDING_MAX, |a, b| weight(b).cmp(&weight(a)));
+            reported.truncate(OUTSTANDING_MAX);
         }
-        told
+        reported
     }
 }
 
-/// How long the targets of a service are cold after a start.
+/// How long targets of a service stay cold after a start.
 fn cold_time(cold_starts: &HashMap<String, ColdStart>, service: &str) -> Millis {
     let cold_start = cold_starts.get(service);
     cold_start.map_or(Millis::ZERO, |cold| cold.time)
 }
 
-/// Takes a name off its target, unless a later one has it.
-fn remove_if<K, Q>(names: &mut HashMap<K, TargetKey>, name: &Q, key: TargetKey)
+/// Removes a name from the index, unless it belongs to a newer target by now.
+fn remove_if_owned<K, Q>(names: &mut HashMap<K, TargetKey>, name: &Q, key: TargetKey)
 where
     K: Borrow<Q> + Eq + Hash,
     Q: Eq + Hash + ?Sized,
--- a/src/gateway/targets/target.rs
+++ b/src/gateway/targets/target.rs
@@ -1,4 +1,4 @@
-//! One incarnation of a target, with all that this router knows of it.
+//! State of one incarnation of a target.
 
 use tokio_util::sync::CancellationToken;
 use xxhash_rust::xxh3::xxh3_64;
@@ -13,41 +13,42 @@
 use crate::gateway::key::TargetKey;
 use crate::units::Millis;
 
-/// How long a load that a target reported is believed.
-const LOAD_BELIEVED: Millis = Millis(1_000);
+/// How long a load report is considered valid.
+const LOAD_VALID_FOR: Millis = Millis(1_000);
 
 /// One incarnation of a target.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its entry, as it was last read.
+    /// Its entry, as last read.
     pub listing: Listing,
-    /// Requests of this router that it has.
+    /// This router's requests in flight there.
     pub in_flight: u32,
-    /// Prompt tokens of those that it has not answered yet.
+    /// Prompt tokens of those whose responses have not begun.
     pub backlog: u64,
-    /// The same of the other routers, added up.
+    /// The sums of the other routers' reports.
     pub others: Outstanding,
-    /// Cancelled when the incarnation is known to have ended.
+    /// Cancelled once the incarnation is known to have ended.
     pub ended: CancellationToken,
+    /// The last load report, and when it was received.
     pub(super) load: Option<(Millis, Load)>,
     pub(super) health: Health,
     pub(super) attempts: Attempts,
     pub(super) warmup: Warmup,
-    /// Its own rate limit.
+    /// The rate limit that it announces.
     pub(super) limit: Limit,
-    /// Until when it wants nothing from this router.
-    pub(super) rests_until: Millis,
-    /// Whether it has said that it leaves, which its entry may tell much later.
+    /// Until when it asked this router to send no requests.
+    pub(super) backoff_until: Millis,
+    /// Whether a response announced that it leaves, which its entry may show much later.
     pub(super) is_leaving: bool,
     pub(super) is_listed: bool,
-    /// Whether the list that was last read lacks it, although it is not removed yet.
+    /// Whether it is missing from the list that was last read, although it is not removed yet.
     pub(super) is_missing: bool,
-    /// Since when it is neither listed nor at work.
+    /// Since when it is neither listed nor has requests.
     pub(super) unused_since: Option<Millis>,
 }
 
 impl Target {
-    /// One that was just listed.
+    /// Creates the state of a newly listed target.
     pub(super) fn new(listing: Listing) -> Self {
         Self {
             listing,
@@ -60,7 +61,7 @@
             attempts: Attempts::default(),
             warmup: Warmup::default(),
             limit: Limit::default(),
-            rests_until: Millis::ZERO,
+            backoff_until: Millis::ZERO,
             is_leaving: false,
             is_listed: true,
             is_missing: false,
@@ -68,48 +69,48 @@
         }
     }
 
-    /// Hash of its instance, by which routers speak of it.
+    /// Hash of its instance, which identifies it between routers.
     pub fn hash(&self) -> u64 {
         hash(&self.listing.instance)
     }
 
-    /// Whether it takes requests.
-    pub fn is_open(&self) -> bool {
+    /// Whether it accepts requests.
+    pub fn accepts_requests(&self) -> bool {
         self.is_listed && !self.has_said_leaving()
     }
 
-    /// Whether it has said, in its entry or in an answer, that it leaves: it ends as planned. An entry that is gone
-    /// says nothing: it also goes some time after a crash.
+    /// Whether it has announced, in its entry or in a response, that it leaves, so its end is planned. A missing entry
+    /// is no such announcement, since entries also disappear some time after a crash.
     pub fn has_said_leaving(&self) -> bool {
         self.is_leaving || !self.listing.is_ready
     }
 
-    /// Whether it takes requests by its entry.
-    pub(super) fn is_listed_open(&self) -> bool {
+    /// Whether it accepts requests according to its entry.
+    pub(super) fn is_listed_ready(&self) -> bool {
         self.is_listed && self.listing.is_ready
     }
 
-    /// Its load by its own report, while that is believed.
+    /// Its last load report, if still valid.
     fn load(&self, now: Millis) -> Load {
         let recent = self
             .load
-            .filter(|(at, _)| now.saturating_sub(*at) < LOAD_BELIEVED);
+            .filter(|(at, _)| now.saturating_sub(*at) < LOAD_VALID_FOR);
         recent.map_or(Load::default(), |(_, load)| load)
     }
 
-    /// Whether it has a free slot, by its own report and by the routers' count.
-    pub(super) fn has_room(&self, now: Millis) -> bool {
+    /// Whether it has a free slot, according to both its own report and the routers' count.
+    pub(super) fn has_free_slot(&self, now: Millis) -> bool {
         self.busy(now) < f64::from(self.listing.slots)
     }
 
-    /// Requests that it has, by its own report or by the routers' count, whichever is higher.
+    /// Its number of requests: the higher of its own report and the routers' count.
     fn busy(&self, now: Millis) -> f64 {
         let load = self.load(now);
         let counted = f64::from(self.in_flight + self.others.in_flight);
         counted.max(f64::from(load.running + load.waiting))
     }
 
-    /// What its choice depends on.
+    /// The inputs of the choice among targets.
     pub(super) fn candidate(&self, now: Millis, key: TargetKey, hall: &str) -> Candidate {
         let load = self.load(now);
         let attempts = self.attempts.at(now);
@@ -120,13 +121,13 @@
             busy: self.busy(now),
             waiting: load.waiting,
             backlog: self.backlog + self.others.backlog,
-            failing: attempts.failing(f64::from(failed), f64::from(answered)),
+            failing: attempts.failure_share(f64::from(failed), f64::from(answered)),
             is_local: self.listing.hall == hall,
         }
     }
 }
 
-/// Hash of an instance, by which routers speak of it.
+/// Hash of an instance, which identifies it between routers.
 pub(super) fn hash(instance: &str) -> u64 {
     xxh3_64(instance.as_bytes())
 }
