--- a/src/gateway/quarantine/held.rs
+++ b/src/gateway/quarantine/held.rs
@@ -1,4 +1,4 @@
-//! What is held back, as operators see it beside the counters.
+//! Metrics of quarantined requests, for operators.
 
 use std::fmt::Write;
 
@@ -6,31 +6,31 @@
 
 use crate::gateway::fingerprint::Fingerprint;
 
-/// A request that is held back.
+/// A quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// Crashes by which it is.
+    /// The number of crashes that it is quarantined for.
     pub crashes: usize,
-    /// Until then.
+    /// When the quarantine ends.
     pub until: Instant,
 }
 
-/// Lines for the metrics' address: how many requests were refused for it, and each one that is held back with its
-/// crashes and the time that is left.
+/// Renders the metrics: the number of requests refused because of quarantine, and each quarantined request with its
+/// crashes and the remaining time.
 pub fn text(held: &[Held], refused: u64) -> String {
     let now = Instant::now();
     let mut text = String::new();
-    // Writing to a string does not fail; the same holds below.
+    // Writing to a string cannot fail, here and below.
     let _ = writeln!(text, "lanedeck_quarantine_refused_total {refused}");
     let _ = writeln!(text, "lanedeck_quarantine_held {}", held.len());
-    for one in held {
-        let left = one.until.saturating_duration_since(now).as_secs();
+    for request in held {
+        let left = request.until.saturating_duration_since(now).as_secs();
         let _ = writeln!(
             text,
             "lanedeck_quarantine_left_seconds{{fingerprint=\"{}\",crashes=\"{}\"}} {left}",
-            one.fingerprint, one.crashes
+            request.fingerprint, request.crashes
         );
     }
     text
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -1,11 +1,12 @@
-//! Requests that were beside crashes of targets, over all routers, and those that are held back for it.
+//! Tracks requests that were in flight at targets when those crashed, across all routers, and quarantines the likely
+//! causes.
 //!
-//! Owns what is known of each such request: the crashes, and whether it was answered well anywhere, which clears it.
-//! Both only ever add to what is known, so that reports may come late, twice and in any order, and all routers
-//! come to the same view. Relies on its caller for the time, for the word that a target has crashed, and for
-//! telling others; which crashes count is [`decision::quarantine`](super::decision::quarantine)'s rule.
+//! For each such request it owns the crashes, and whether the request succeeded anywhere, which clears it. Both are
+//! only ever added to, so reports may arrive late, duplicated and in any order, and all routers converge on the same
+//! state. It relies on its caller for the time, for detecting crashes of targets, and for sending reports to other
+//! routers. [`decision::quarantine`](super::decision::quarantine) defines which crashes count.
 //!
-//! Bounded whatever is sent: a customer whose requests crash many targets pushes its own out first.
+//! Memory is bounded whatever is sent: a customer whose requests crash many targets evicts its own entries first.
 
 mod answered;
 mod held;
@@ -20,74 +21,76 @@
 use super::fingerprint::Fingerprint;
 use crate::units::Millis;
 
-/// How long a request's crashes, and its being cleared, are remembered after the last. It is sent again after that,
-/// since whoever runs the targets may have mended them; if not, it costs as many targets as the rule allows, each
-/// ten minutes.
-pub const REMEMBERED: Millis = Millis(600_000);
-/// Requests of which crashes are known at most: a hundred bytes each.
+/// How long the crashes and the success of a request are kept after the last of them. After that, the request is sent
+/// to targets again, since the targets may have been fixed. If they have not been, it crashes as many targets as the
+/// rule allows every ten minutes.
+pub const RETENTION: Millis = Millis(600_000);
+/// Maximum number of requests with known crashes, about 100 bytes each.
 const SUSPECTS_MAX: usize = 1_024;
-/// Crashes that are kept of a request: as many as any rule asks for.
+/// Maximum number of crashes kept for a request: as many as any rule needs.
 const CRASHES_MAX: usize = 5;
-/// How long after a request broke off its target's crash may become known: a target that starts again under its id
-/// is back within seconds, and its entry is read each half second.
-const CONFIRMED_WITHIN: Millis = Millis(5_000);
-/// Requests that broke off and targets that crashed which are remembered for that time, at most.
+/// How long after an attempt broke off the crash of its target may still be detected: a target that restarts under its
+/// id is back within seconds, and its entry is read every half second.
+const CONFIRMATION_WINDOW: Millis = Millis(5_000);
+/// Maximum number of attempts that broke off, and of crashed targets, that are kept for that time.
 const UNCONFIRMED_MAX: usize = 256;
-/// Rounds of telling others in which a change is told. Each reaches three routers; where all do the same, one in ten
-/// thousand is not told by nine messages, and reads it in the store.
-const TELLINGS: u32 = 3;
-/// Requests that are told of in one message: half a kilobyte, so that telling costs under 5 KB a second whatever is
+/// Number of gossip rounds in which a change is reported. Each round reaches three routers. If all routers do the same,
+/// one in ten thousand gets none of the nine messages; it reads the change from the store.
+const GOSSIP_ROUNDS: u32 = 3;
+/// Maximum number of reports in one message: half a kilobyte, so that gossip takes less than 5 kB a second whatever is
 /// sent.
-const TOLD_MAX: usize = 12;
+const REPORTS_MAX: usize = 12;
 
-/// Requests in a router's row: some kilobytes, far below what a record may have.
-const ROW_MAX: usize = 64;
+/// Maximum number of requests in a router's row: a few kilobytes, far below the size limit of a record.
+const ROW_REPORTS_MAX: usize = 64;
 
-/// A request that broke off at a target.
+/// An attempt that broke off at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Broken {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Hash of the target's instance.
     pub instance: u64,
-    /// When it was sent there.
+    /// When it was sent to the target.
     pub sent: Millis,
 }
 
-/// Why a request is held back, and for how long.
+/// Why a request is quarantined, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Hold {
-    /// Crashes in a row that nothing else explains.
+    /// Consecutive crashes that no other request explains.
     pub crashes: usize,
-    /// The last of them.
+    /// Time of the last crash.
     pub last: Millis,
 }
 
 impl Hold {
-    /// How long it is still held back.
+    /// Remaining time of the quarantine.
     pub fn left(&self, now: Millis) -> Millis {
-        (self.last + REMEMBERED).saturating_sub(now)
+        (self.last + RETENTION).saturating_sub(now)
     }
 }
 
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     crashes: Vec<Crash>,
-    /// When it was answered well; its crashes say nothing then.
+    /// When it succeeded; its crashes are then not attributed to it.
     answered: Option<Millis>,
     /// Whether this router has seen one of its crashes itself.
-    is_own: bool,
-    tellings: u32,
+    has_own_crash: bool,
+    /// Gossip rounds in which the last change has been reported.
+    rounds_reported: u32,
 }
 
 impl Suspect {
+    /// Time of the last crash, or of the success.
     fn last(&self) -> Millis {
         let crash = self.crashes.last().map(|crash| crash.at);
         crash.max(self.answered).unwrap_or_default()
     }
 
-    /// Adds a crash; whether it was not known.
-    fn add(&mut self, crash: Crash) -> bool {
+    /// Adds a crash; returns whether it is new and counts.
+    fn add_crash(&mut self, crash: Crash) -> bool {
         let is_known = self
             .crashes
             .iter()
@@ -98,13 +101,14 @@
         let place = self.crashes.partition_point(|known| known.at <= crash.at);
         self.crashes.insert(place, crash);
         if self.crashes.len() > CRASHES_MAX {
-            self.drop_least();
+            self.drop_unrelated_crash();
         }
         true
     }
 
-    /// Drops the oldest crash that does not lengthen the row, so that many at once do not push out those before.
-    fn drop_least(&mut self) {
+    /// Drops the oldest crash that is not part of the longest run of consecutive ones, so that many simultaneous
+    /// crashes do not evict earlier ones.
+    fn drop_unrelated_crash(&mut self) {
         let row = quarantine::row(self.crashes.iter().copied());
         let least = self.crashes.iter().position(|crash| !row.contains(crash));
         self.crashes.remove(least.unwrap_or(0));
@@ -119,67 +123,68 @@
         quarantine::in_a_row(self.crashes.iter().copied())
     }
 
-    fn was_beside(&self, instance: u64) -> bool {
+    fn was_in_flight_at(&self, instance: u64) -> bool {
         self.crashes.iter().any(|crash| crash.instance == instance)
     }
 }
 
-/// What is known of requests that were beside crashes.
+/// State of all requests that were in flight at crashing targets.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     suspects: HashMap<Fingerprint, Suspect>,
     answered: Answered,
-    /// Requests that broke off at targets of which no crash is known, and when.
+    /// Attempts that broke off at targets without a known crash, and when.
     unconfirmed: VecDeque<(Millis, Broken)>,
-    /// Targets that have crashed of late.
+    /// Targets that crashed recently, and when.
     crashed: VecDeque<(Millis, u64)>,
     holds: BTreeMap<Fingerprint, Hold>,
 }
 
 impl Quarantine {
-    /// Why a request is held back, if it is.
+    /// Why a request is quarantined, if it is.
     pub fn hold(&self, now: Millis, fingerprint: Fingerprint) -> Option<Hold> {
         let hold = self.holds.get(&fingerprint).copied()?;
         (hold.left(now) > Millis::ZERO).then_some(hold)
     }
 
-    /// All requests that are held back.
+    /// All quarantined requests.
     pub fn holds(&self) -> &BTreeMap<Fingerprint, Hold> {
         &self.holds
     }
 
-    /// Notes a request that broke off; whether its target is known to have crashed.
+    /// Records an attempt that broke off; returns whether its target is known to have crashed.
     pub fn note_broken(&mut self, now: Millis, broken: Broken) -> bool {
         let has_crashed = self
             .crashed
             .iter()
             .any(|(_, instance)| *instance == broken.instance);
         if has_crashed {
-            self.charge(now, now, broken);
+            self.attribute_crash(now, now, broken);
         } else {
-            push(&mut self.unconfirmed, (now, broken));
+            push_bounded(&mut self.unconfirmed, (now, broken));
         }
         has_crashed
     }
 
-    /// Notes that a target has crashed. The requests that broke off there of late are returned.
+    /// Records the crash of a target; returns the attempts that recently broke off there.
     pub fn note_crash(&mut self, now: Millis, instance: u64) -> Vec<Broken> {
         self.crashed
-            .retain(|(at, _)| now.saturating_sub(*at) < CONFIRMED_WITHIN);
-        push(&mut self.crashed, (now, instance));
+            .retain(|(at, _)| now.saturating_sub(*at) < CONFIRMATION_WINDOW);
+        push_bounded(&mut self.crashed, (now, instance));
         let unconfirmed = std::mem::take(&mut self.unconfirmed);
-        let is_recent = |at: Millis| now.saturating_sub(at) < CONFIRMED_WITHIN;
+        let is_recent = |at: Millis| now.saturating_sub(at) < CONFIRMATION_WINDOW;
         let recent = unconfirmed.into_iter().filter(|(at, _)| is_recent(*at));
         let (confirmed, rest): (Vec<_>, _) =
             recent.partition(|(_, broken)| broken.instance == instance);
         self.unconfirmed = rest.into();
         for (at, broken) in &confirmed {
-            self.charge(now, *at, *broken);
+            self.attribute_crash(now, *at, *broken);
         }
         confirmed.into_iter().map(|(_, broken)| broken).collect()
     }
 
-    fn charge(&mut self, now: Millis, at: Millis, broken: Broken) {
+    /// Adds a crash to the request of an attempt that broke off.
+    fn attribute_crash(&mut self, now: Millis, at: Millis, broken: Broken) {
         let crash = Crash {
             instance: broken.instance,
             sent: broken.sent,
@@ -190,36 +195,36 @@
         if let Some(at) = answered {
             suspect.clear(at);
         }
-        if suspect.add(crash) {
-            suspect.is_own = true;
-            suspect.tellings = 0;
+        if suspect.add_crash(crash) {
+            suspect.has_own_crash = true;
+            suspect.rounds_reported = 0;
         }
-        self.judge(now);
+        self.update_holds(now);
     }
 
-    /// Notes that a request was answered well.
+    /// Records that a request succeeded.
     pub fn note_answered(&mut self, now: Millis, fingerprint: Fingerprint) {
-        self.answered.note(now, fingerprint);
+        self.answered.record(now, fingerprint);
         let Some(suspect) = self.suspects.get_mut(&fingerprint) else {
             return;
         };
         if suspect.answered.is_none() {
             suspect.clear(now);
-            suspect.tellings = 0;
-            self.judge(now);
+            suspect.rounds_reported = 0;
+            self.update_holds(now);
         }
     }
 
-    /// Takes in what another router tells of a request.
+    /// Merges another router's report on a request.
     pub fn merge(&mut self, now: Millis, report: &Report) {
         let ages = report.crashes.iter().map(|crash| crash.ago);
         let youngest = ages.chain(report.answered_ago).min();
-        if youngest.is_none_or(|ago| ago >= REMEMBERED) {
+        if youngest.is_none_or(|ago| ago >= RETENTION) {
             return;
         }
         let ago = |ago: Millis| now.saturating_sub(ago);
-        let told = report.answered_ago.map(ago);
-        let answered = told.max(self.answered(now, report.fingerprint));
+        let reported = report.answered_ago.map(ago);
+        let answered = reported.max(self.answered(now, report.fingerprint));
         let suspect = self.suspect(now, report.fingerprint);
         let mut is_change = false;
         if let Some(at) = answered {
@@ -227,42 +232,43 @@
             suspect.clear(at);
         }
         for crash in report.crashes.iter().take(CRASHES_MAX) {
-            is_change |= suspect.add(Crash {
+            is_change |= suspect.add_crash(Crash {
                 instance: crash.instance,
                 sent: ago(crash.sent_ago),
                 at: ago(crash.ago),
             });
         }
         if is_change {
-            suspect.tellings = 0;
-            self.judge(now);
+            suspect.rounds_reported = 0;
+            self.update_holds(now);
         }
     }
 
-    /// When a request was answered well, as far as that still clears it.
+    /// When a request succeeded, if that is recent enough to clear it.
     fn answered(&self, now: Millis, fingerprint: Fingerprint) -> Option<Millis> {
         let at = self.answered.last(fingerprint)?;
-        (now.saturating_sub(at) < REMEMBERED).then_some(at)
+        (now.saturating_sub(at) < RETENTION).then_some(at)
     }
 
-    /// What is known of a request; room is made for one of which nothing is.
+    /// The state of a request. Evicts another request if a new entry does not fit.
     fn suspect(&mut self, now: Millis, fingerprint: Fingerprint) -> &mut Suspect {
         if !self.suspects.contains_key(&fingerprint) && self.suspects.len() >= SUSPECTS_MAX {
             self.forget(now);
-            self.make_room();
+            self.evict_if_full();
         }
         self.suspects.entry(fingerprint).or_default()
     }
 
-    /// Forgets what is too old.
+    /// Removes expired entries.
     pub fn forget(&mut self, now: Millis) {
         self.suspects
-            .retain(|_, suspect| now.saturating_sub(suspect.last()) < REMEMBERED);
-        self.judge(now);
+            .retain(|_, suspect| now.saturating_sub(suspect.last()) < RETENTION);
+        self.update_holds(now);
     }
 
-    /// Forgets the least of the customer of which most is known, so that nobody pushes out another's.
-    fn make_room(&mut self) {
+    /// Evicts an entry of the customer with most entries, so that no customer evicts another's. Of these, the one with
+    /// fewest crashes goes, the oldest on a tie.
+    fn evict_if_full(&mut self) {
         if self.suspects.len() < SUSPECTS_MAX {
             return;
         }
@@ -282,9 +288,9 @@
         }
     }
 
-    /// Judges anew which requests are held back. A request that was not beside enough crashes of its own is not
-    /// compared with others, so this costs as much as the few that were.
-    fn judge(&mut self, now: Millis) {
+    /// Recomputes which requests are quarantined. Only requests with enough consecutive crashes of their own are
+    /// compared with each other, so the cost depends on these few.
+    fn update_holds(&mut self, now: Millis) {
         let suspects = self.suspects.iter();
         let in_a_row: Vec<(&Fingerprint, &Suspect, usize)> = suspects
             .map(|(fingerprint, suspect)| (fingerprint, suspect, suspect.in_a_row()))
@@ -293,7 +299,7 @@
         let is_explained = |own: &Fingerprint, count: usize, crash: &Crash| {
             in_a_row.iter().any(|(other, suspect, others)| {
                 *other != own
-                    && suspect.was_beside(crash.instance)
+                    && suspect.was_in_flight_at(crash.instance)
                     && quarantine::is_explained(count, *others)
             })
         };
@@ -312,59 +318,65 @@
         self.holds = holds;
     }
 
-    /// What is to be told to other routers in this round.
+    /// The reports to send to other routers in this round.
     pub fn tell(&mut self, now: Millis) -> Vec<Report> {
         let suspects = self.suspects.iter_mut();
-        let mut untold: Vec<(&Fingerprint, &mut Suspect)> = suspects
-            .filter(|(_, suspect)| suspect.tellings < TELLINGS)
+        let mut pending: Vec<(&Fingerprint, &mut Suspect)> = suspects
+            .filter(|(_, suspect)| suspect.rounds_reported < GOSSIP_ROUNDS)
             .collect();
-        // What was told least goes first, then what is nearest to being held back.
-        untold.sort_by_key(|(_, suspect)| {
+        // Least reported first, then those closest to quarantine.
+        pending.sort_by_key(|(_, suspect)| {
             let crashes = std::cmp::Reverse(suspect.crashes.len());
-            (suspect.tellings, crashes, std::cmp::Reverse(suspect.last()))
+            (
+                suspect.rounds_reported,
+                crashes,
+                std::cmp::Reverse(suspect.last()),
+            )
         });
-        let told = untold.into_iter().take(TOLD_MAX);
-        let told = told.map(|(fingerprint, suspect)| {
-            suspect.tellings += 1;
+        let reported = pending.into_iter().take(REPORTS_MAX);
+        let reported = reported.map(|(fingerprint, suspect)| {
+            suspect.rounds_reported += 1;
             report(now, *fingerprint, suspect)
         });
-        told.collect()
+        reported.collect()
     }
 
-    /// Has the requests that are held back told once more, for routers that have started since.
+    /// Reports the quarantined requests once more, for routers that have started since.
     pub fn tell_holds_again(&mut self) {
         for fingerprint in self.holds.keys() {
             if let Some(suspect) = self.suspects.get_mut(fingerprint) {
-                suspect.tellings = suspect.tellings.min(TELLINGS - 1);
+                suspect.rounds_reported = suspect.rounds_reported.min(GOSSIP_ROUNDS - 1);
             }
         }
     }
 
-    /// The requests that are held back and of whose crashes this router has seen one itself, the most recent first.
+    /// The quarantined requests of which this router has seen at least one crash itself, most recent first.
     pub fn own_holds(&self, now: Millis) -> Vec<Report> {
         let mut own: Vec<(&Fingerprint, &Suspect)> = self
             .holds
             .keys()
             .filter_map(|fingerprint| Some((fingerprint, self.suspects.get(fingerprint)?)))
-            .filter(|(_, suspect)| suspect.is_own)
+            .filter(|(_, suspect)| suspect.has_own_crash)
             .collect();
         own.sort_by_key(|(_, suspect)| std::cmp::Reverse(suspect.last()));
-        own.truncate(ROW_MAX);
+        own.truncate(ROW_REPORTS_MAX);
         own.iter()
             .map(|(fingerprint, suspect)| report(now, **fingerprint, suspect))
             .collect()
     }
 
-    /// Notes that a row of this router's last process has a request, which stays there for as long as it is held.
+    /// Marks a request that the row of this router's previous process contains, so that it stays in the row while it is
+    /// quarantined.
     pub fn adopt(&mut self, fingerprint: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
-            suspect.is_own = true;
+            suspect.has_own_crash = true;
         }
     }
 }
 
-fn push<T>(recent: &mut VecDeque<T>, one: T) {
-    recent.push_back(one);
+/// Appends to a queue, and drops the oldest item if it has more than [`UNCONFIRMED_MAX`].
+fn push_bounded<T>(recent: &mut VecDeque<T>, item: T) {
+    recent.push_back(item);
     if recent.len() > UNCONFIRMED_MAX {
         recent.pop_front();
     }
--- a/src/gateway/quarantine/report.rs
+++ b/src/gateway/quarantine/report.rs
@@ -1,36 +1,36 @@
-//! What routers tell each other of requests that were beside crashes, and keep in the store. All types are
-//! encoded for other processes, so the order of fields is part of their form. Times are told as ages, since
-//! routers' clocks have nothing in common.
+//! What routers report to each other, and keep in the store, about requests that were in flight when a target crashed.
+//! All types are encoded for other processes, so the order of fields is part of the wire format. Times are sent as
+//! ages, since the clocks of routers are not synchronised.
 
 use serde::{Deserialize, Serialize};
 
 use crate::gateway::fingerprint::Fingerprint;
 use crate::units::Millis;
 
-/// A crash that a request was beside.
+/// A crash of a target during which a request was in flight there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
     /// Hash of the target's instance.
     pub instance: u64,
-    /// How long ago the request was sent there.
+    /// How long ago the request was sent to the target.
     pub sent_ago: Millis,
-    /// How long ago it broke off.
+    /// How long ago the attempt broke off.
     pub ago: Millis,
 }
 
-/// What is known of a request.
+/// The crashes and the last success of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The crashes, in the order of their times.
+    /// The crashes, oldest first.
     pub crashes: Vec<Crash>,
-    /// How long ago it was answered well, where it was.
+    /// How long ago it succeeded, if it did.
     pub answered_ago: Option<Millis>,
 }
 
 impl Report {
-    /// The same, told so much later. Ages are anybody's word, so sums of them are bounded.
+    /// The same report, `age` later. Ages come from other processes and are not trusted, so additions saturate.
     pub fn aged(&self, age: Millis) -> Self {
         let later = |ago: Millis| Millis(ago.0.saturating_add(age.0));
         let crashes = self.crashes.iter().map(|crash| Crash {
@@ -46,11 +46,11 @@
     }
 }
 
-/// What a router keeps in the store: the requests that it holds back and of whose crashes it has seen one itself.
+/// A router's row in the store: the quarantined requests of which this router has seen at least one crash itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The host's time of day when it was written, in milliseconds since 1970.
+    /// The host's wall-clock time of writing, in milliseconds since 1970.
     pub written: u64,
-    /// What was known then.
+    /// The reports at that time.
     pub reports: Vec<Report>,
 }
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -1,11 +1,11 @@
-//! Which requests are held back for crashes of targets, and which are not, whatever happens beside them.
+//! Which requests are quarantined because of crashes of targets, and which are not.
 
 use std::collections::BTreeSet;
 
 use arbtest::arbtest;
 use lanedeck::gateway::fingerprint::Fingerprint;
 use lanedeck::gateway::message::Request;
-use lanedeck::gateway::quarantine::{Broken, Quarantine, REMEMBERED, Report};
+use lanedeck::gateway::quarantine::{Broken, Quarantine, RETENTION, Report};
 use lanedeck::units::Millis;
 use lanedeck::util;
 use rand::rngs::StdRng;
@@ -25,7 +25,7 @@
     Fingerprint { customer, request }
 }
 
-/// Requests that were sent to a target 100 ms before it crashed.
+/// Crashes a target 100 ms after the requests were sent there.
 fn crash(quarantine: &mut Quarantine, ms: u64, instance: u64, requests: &[Fingerprint]) {
     for fingerprint in requests {
         quarantine.note_broken(
@@ -53,16 +53,20 @@
     }
     let hold = quarantine.hold(at(5_000), request(7)).unwrap();
     assert_eq!((hold.crashes, hold.last), (3, at(3_000)));
-    assert_eq!(hold.left(at(5_000)), Millis(REMEMBERED.0 - 2_000));
-    assert!(!is_held(&quarantine, 5_000, request(8)), "nobody else is");
-    let ended = 3_000 + REMEMBERED.0;
+    assert_eq!(hold.left(at(5_000)), Millis(RETENTION.0 - 2_000));
+    assert!(
+        !is_held(&quarantine, 5_000, request(8)),
+        "other requests are not quarantined"
+    );
+    let ended = 3_000 + RETENTION.0;
     assert!(
         !is_held(&quarantine, ended, request(7)),
-        "it is tried again"
+        "the quarantine ends"
     );
 }
 
-/// Of what was under way when it was held back, targets still crash; that does not make it forgotten.
+/// Attempts in flight when a request is quarantined may still crash targets. These crashes do not evict the earlier
+/// ones.
 #[test]
 fn under_way_meanwhile() {
     let mut quarantine = Quarantine::default();
@@ -93,11 +97,12 @@
     quarantine.note_crash(at(20_000), 9);
     assert!(
         quarantine.tell(at(20_000)).is_empty(),
-        "long after, nothing says it was the crash"
+        "a crash long after the attempt is not attributed to it"
     );
 }
 
-/// A rack, a cut or a reset hits all that is under way, a request that many ask at once as often as it is.
+/// A failed rack, a partition or reset connections end everything in flight at once, including many attempts of one
+/// request. All of these count as one crash.
 #[test]
 fn all_at_once() {
     let mut quarantine = Quarantine::default();
@@ -106,7 +111,7 @@
     }
     assert!(
         !is_held(&quarantine, 2_000, request(7)),
-        "it was beside one event"
+        "simultaneous crashes count once"
     );
 }
 
@@ -120,7 +125,7 @@
         crash(&mut quarantine, 1_000 * number, number, &[request(7)]);
     }
     assert!(!is_held(&quarantine, 9_500, request(7)));
-    // The same where it was answered before the first of them.
+    // The same if it succeeded before the first crash.
     quarantine.note_answered(at(10_000), request(8));
     for number in 11..=19 {
         crash(&mut quarantine, 1_000 * number, number, &[request(8)]);
@@ -145,9 +150,9 @@
     }
     assert!(
         !is_held(&here, 3_200, request(7)),
-        "who told of the crashes learns it"
+        "the router that reported the crashes learns of the success"
     );
-    // What a router that was cut off still tells does not bring it back.
+    // Late reports of a router that was cut off do not restore the quarantine.
     let mut late = Quarantine::default();
     for number in 1..=3 {
         crash(&mut late, 1_000 * number, number, &[request(7)]);
@@ -169,14 +174,14 @@
     assert!(is_held(&quarantine, 4_500, cause));
     assert!(
         !is_held(&quarantine, 4_500, other),
-        "the other one explains them"
+        "the other request explains the crashes"
     );
     for number in 5..=7 {
         crash(&mut quarantine, 1_000 * number, number, &[other]);
     }
     assert!(
         is_held(&quarantine, 7_500, other),
-        "it crashes targets by itself"
+        "it also crashes targets alone"
     );
 }
 
@@ -192,7 +197,7 @@
     assert!(both.iter().all(|one| is_held(&quarantine, 5_500, *one)));
 }
 
-/// Who invents requests that crash targets neither fills the memory nor has others forgotten.
+/// A customer that invents requests which crash targets neither exhausts memory nor evicts other customers' entries.
 #[test]
 fn invented_requests() {
     let mut quarantine = Quarantine::default();
@@ -207,17 +212,17 @@
             &[of_customer(1, number)],
         );
     }
-    let told = quarantine.tell(at(30_000));
-    let bytes = util::encode(&Request::Suspects(told)).len();
-    assert!(bytes < 600, "{bytes} bytes are told in a round");
+    let reports = quarantine.tell(at(30_000));
+    let bytes = util::encode(&Request::Suspects(reports)).len();
+    assert!(bytes < 600, "{bytes} bytes are sent in a round");
     crash(&mut quarantine, 40_000, 30_000, &[victim]);
     assert!(
         is_held(&quarantine, 40_100, victim),
-        "nothing of it was forgotten"
+        "its earlier crashes are still known"
     );
 }
 
-/// Ages are anybody's word: what another writer left in the store makes no sum overflow, and holds nothing back.
+/// Ages in the store may come from any writer. Absurd ones neither overflow nor quarantine a request.
 #[test]
 fn ages_without_bounds() {
     let mut here = Quarantine::default();
@@ -235,14 +240,14 @@
     assert!(!is_held(&there, 3_100, request(7)));
 }
 
-/// Whatever order reports come in, and however often, all routers come to the same view.
+/// Routers converge on the same state whatever the order and number of reports.
 #[test]
 fn any_order() {
     arbtest(|u| {
         let mut sources = [Quarantine::default(), Quarantine::default()];
         for number in 1..=u.int_in_range(1..=12)? {
             let requests: [bool; 3] = u.arbitrary()?;
-            let beside: Vec<Fingerprint> = (0..3)
+            let in_flight: Vec<Fingerprint> = (0..3)
                 .filter(|one| requests[*one])
                 .map(|one| request(one as u64))
                 .collect();
@@ -250,7 +255,7 @@
             if u.ratio(1, 8)? {
                 source.note_answered(at(1_000 * number), request(0));
             } else {
-                crash(source, 1_000 * number, number, &beside);
+                crash(source, 1_000 * number, number, &in_flight);
             }
         }
         let now = at(20_000);
@@ -277,7 +282,7 @@
     });
 }
 
-/// A fleet of 295 knows of a request within two seconds, although each of its crashes was seen by another router.
+/// A fleet of 295 routers quarantines a request within two seconds, although each crash was seen by a different router.
 #[test]
 fn large_fleet() {
     const ROUTERS: usize = 295;
@@ -295,9 +300,9 @@
     let (mut ms, mut bytes) = (1_600, 0);
     while !fleet.iter().all(|one| is_held(one, ms, request(7))) {
         ms += ROUND;
-        assert!(ms <= 3_600, "two seconds");
-        for teller in 0..ROUTERS {
-            let reports = fleet[teller].tell(at(ms));
+        assert!(ms <= 3_600, "not all routers know after two seconds");
+        for sender in 0..ROUTERS {
+            let reports = fleet[sender].tell(at(ms));
             for _ in 0..3 {
                 bytes += util::encode(&reports).len();
                 let other = random.random_range(0..ROUTERS);
@@ -307,5 +312,5 @@
             }
         }
     }
-    assert!(bytes / ROUTERS < 2_000, "{bytes} bytes in all");
+    assert!(bytes / ROUTERS < 2_000, "{bytes} bytes sent in total");
 }
