--- a/src/gateway/notice/mod.rs
+++ b/src/gateway/notice/mod.rs
@@ -1,7 +1,7 @@
-//! What a target says of itself in the head of an answer, whatever its status.
+//! What a target announces of itself in the headers of a response, whatever its status.
 //!
-//! The dialect decodes it once into these types. A value that cannot be read says nothing: it neither begins nor ends
-//! anything, and is counted and logged.
+//! The dialect decodes the headers once into these types. An unreadable value is counted and logged, and otherwise has
+//! no effect: it neither starts nor ends anything.
 
 mod said;
 
@@ -13,14 +13,14 @@
 pub use self::said::{Counts, Said, text};
 use crate::units::Millis;
 
-/// Requests a second that a target takes from all routers together: finite and not negative.
+/// Requests per second that a target accepts from all routers together; finite and not negative.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64")]
 pub struct Rate(f64);
 
-/// A number that is no rate.
+/// A number that is not a valid rate.
 #[derive(Clone, Copy, Debug, PartialEq, Snafu)]
-#[snafu(display("{per_second} is no rate"))]
+#[snafu(display("{per_second} is not a valid rate"))]
 pub struct BadRate {
     /// The number.
     pub per_second: f64,
@@ -35,30 +35,30 @@
 }
 
 impl Rate {
-    /// So many requests a second, where that is a rate.
+    /// Creates a rate, or returns `None` if the number is negative or not finite.
     pub fn new(per_second: f64) -> Option<Self> {
         (per_second.is_finite() && per_second >= 0.0).then_some(Self(per_second))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     pub fn per_second(self) -> f64 {
         self.0
     }
 }
 
-/// What an answer's head says of the target that gave it.
+/// What the headers of a response announce about the target that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notice {
-    /// Its rate limit; an answer without one ends the limit of before.
+    /// Its rate limit; a response without one ends the previous limit.
     pub rate_limit: Result<Option<Rate>, BadNotice>,
-    /// Whether it leaves: it serves what it has and ends.
+    /// Whether it leaves: it completes the requests that it has, then exits.
     pub is_leaving: Result<bool, BadNotice>,
-    /// How long it wants nothing from the router that it refuses, where it says so.
+    /// How long it asks the router whose request it refuses to send no requests, if it does.
     pub rest: Result<Option<Millis>, BadNotice>,
 }
 
 impl Notice {
-    /// What of it cannot be used.
+    /// The values that cannot be used.
     pub fn errors(&self) -> impl Iterator<Item = BadNotice> {
         let errors = [
             self.rate_limit.err(),
@@ -79,53 +79,53 @@
     }
 }
 
-/// Why a value that a target sent of itself cannot be used.
+/// Why an announced value cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum BadNotice {
-    /// Its header came more than once.
-    #[snafu(display("{header} came more than once"))]
+    /// The header occurs more than once.
+    #[snafu(display("{header} occurs more than once"))]
     Repeated {
         /// The header.
         header: &'static str,
     },
-    /// It is longer than any number of use.
+    /// The value is longer than any usable number.
     #[snafu(display("{header} is too long"))]
     Long {
         /// The header.
         header: &'static str,
     },
-    /// It is no number, or not one that makes sense there.
-    #[snafu(display("{header} is no {wanted}"))]
+    /// The value is not a number, or not one that is valid for the header.
+    #[snafu(display("{header} is invalid: expected {wanted}"))]
     Value {
         /// The header.
         header: &'static str,
-        /// What it has to hold.
+        /// What the header has to contain.
         wanted: &'static str,
     },
 }
 
-/// What routers tell each other of what a target said. It is encoded for other processes, so the order of fields and
-/// variants is part of its form.
+/// An announcement of a target, as reported between routers. It is encoded for other processes, so the order of fields
+/// and variants is part of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Hash of the target's instance.
     pub instance: u64,
-    /// What it said.
+    /// What it announced.
     pub word: Word,
 }
 
-/// One thing that a target said of itself.
+/// One thing that a target announces of itself in a response header.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Word {
-    /// Its rate limit, or that it has none any more.
+    /// Its rate limit, or the end of its limit.
     RateLimit {
-        /// Number of the change, over all routers.
+        /// Revision of the change, across all routers.
         revision: u32,
         /// The limit.
         limit: Option<Rate>,
     },
-    /// It leaves, until its next incarnation.
+    /// It leaves; ends with its incarnation.
     Leaving,
 }
 
--- a/src/gateway/notice/said.rs
+++ b/src/gateway/notice/said.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves, as operators see it beside the counters.
+//! Metrics of what targets announce of themselves, for operators.
 
 use std::fmt::Write;
 
@@ -6,7 +6,7 @@
 use crate::gateway::metrics::Counter;
 use crate::units::Millis;
 
-/// What a target says now.
+/// What a target currently announces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Said {
     /// Its instance.
@@ -15,11 +15,11 @@
     pub rate_limit: Option<Rate>,
     /// Whether it leaves.
     pub is_leaving: bool,
-    /// How much longer it wants nothing from this router, when this was published.
+    /// Remaining time, as of publication, for which it asked this router to send no requests.
     pub rest_left: Millis,
 }
 
-/// How often targets said something new, by kind.
+/// Number of new announcements by targets, by kind.
 #[derive(Debug, Default)]
 pub struct Counts {
     rate_limit: Counter,
@@ -29,7 +29,7 @@
 }
 
 impl Counts {
-    /// Counts what an answer said, and what of it was news.
+    /// Counts a response's notice, and those of its announcements that changed something.
     pub fn note(&self, notice: &Notice, news: &[Word]) {
         for word in news {
             match word {
@@ -44,7 +44,7 @@
     }
 }
 
-/// Lines for the metrics' address: the counts, and for each target that says something what it is.
+/// Renders the metrics: the counts, and the current announcements of each target.
 pub fn text(said: &[Said], counts: &Counts) -> String {
     let mut text = String::new();
     let kinds = [
@@ -53,7 +53,7 @@
         ("rest", &counts.rest),
         ("unreadable", &counts.unreadable),
     ];
-    // Writing to a string does not fail; the same holds below.
+    // Writing to a string cannot fail, here and below.
     for (kind, counter) in kinds {
         let count = counter.get();
         let _ = writeln!(
