--- a/src/gateway/notice/mod.rs
+++ b/src/gateway/notice/mod.rs
@@ -112,12 +112,12 @@
     /// Hash of the target's instance.
     pub instance: u64,
     /// What it announced.
-    pub word: Word,
+    pub announcement: Announcement,
 }
 
 /// One thing that a target announces of itself in a response header.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Announcement {
     /// Its rate limit, or the end of its limit.
     RateLimit {
         /// Revision of the change, across all routers.
@@ -129,7 +129,7 @@
     Leaving,
 }
 
-impl fmt::Display for Word {
+impl fmt::Display for Announcement {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::RateLimit {
--- a/src/gateway/notice/said.rs
+++ b/src/gateway/notice/said.rs
@@ -2,7 +2,7 @@
 
 use std::fmt::Write;
 
-use super::{Notice, Rate, Word};
+use super::{Announcement, Notice, Rate};
 use crate::gateway::metrics::Counter;
 use crate::units::Millis;
 
@@ -30,11 +30,11 @@
 
 impl Counts {
     /// Counts a response's notice, and those of its announcements that changed something.
-    pub fn note(&self, notice: &Notice, news: &[Word]) {
-        for word in news {
-            match word {
-                Word::RateLimit { .. } => self.rate_limit.add(1),
-                Word::Leaving => self.leaving.add(1),
+    pub fn note(&self, notice: &Notice, news: &[Announcement]) {
+        for announcement in news {
+            match announcement {
+                Announcement::RateLimit { .. } => self.rate_limit.add(1),
+                Announcement::Leaving => self.leaving.add(1),
             }
         }
         if let Ok(Some(_)) = notice.rest {
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -20,7 +20,7 @@
 use super::job::{Delivery, Ending, Job, Placement};
 use super::key::{JobKey, TargetKey};
 use super::members::{Members, Router};
-use super::notice::{Notice, Report, Word};
+use super::notice::{Announcement, Notice, Report};
 use super::quarantine::{Broken, Quarantine};
 use super::targets::{Change, Freshness, Targets};
 use crate::boot_clock::Reading;
@@ -206,7 +206,7 @@
 
     /// Takes in what a request's target says of itself in the head of its answer; what of it other routers are to be
     /// told.
-    pub fn heard(&mut self, now: Millis, key: JobKey, notice: &Notice) -> Vec<Word> {
+    pub fn heard(&mut self, now: Millis, key: JobKey, notice: &Notice) -> Vec<Announcement> {
         let Some(running) = self.running.get(&key) else {
             return Vec::new();
         };
@@ -224,8 +224,15 @@
         if let Ok(Some(rest)) = notice.rest {
             tracing::info!(event = "rest_heard", %instance, %id, rest_ms = rest.0);
         }
-        for word in &news {
-            tracing::info!(event = "target_says", %instance, %word, source = "answer", %id, sent_ago_ms);
+        for announcement in &news {
+            tracing::info!(
+                event = "target_says",
+                %instance,
+                word = %announcement,
+                source = "answer",
+                %id,
+                sent_ago_ms
+            );
         }
         news
     }
@@ -237,8 +244,14 @@
             if let Some(target) = self.targets.merge(now, report) {
                 is_news = true;
                 let instance = &self.targets.get(target).listing.instance;
-                let word = report.word;
-                tracing::info!(event = "target_says", %instance, %word, source = "link", router);
+                let announcement = report.announcement;
+                tracing::info!(
+                    event = "target_says",
+                    %instance,
+                    word = %announcement,
+                    source = "link",
+                    router
+                );
             }
         }
         is_news
--- a/src/gateway/targets/limit.rs
+++ b/src/gateway/targets/limit.rs
@@ -5,7 +5,7 @@
 //! does not restore the limit. Between routers, the higher revision wins; revisions only increase.
 
 use crate::gateway::decision::limit::Sent;
-use crate::gateway::notice::{Rate, Word};
+use crate::gateway::notice::{Announcement, Rate};
 use crate::units::Millis;
 
 /// How long the end of a limit is reported to other routers: longer than a router goes without hearing from another.
@@ -107,10 +107,10 @@
     }
 
     /// The announcement to report to other routers, if there is a limit or one has recently ended.
-    pub(super) fn announcement(&self, now: Millis) -> Option<Word> {
+    pub(super) fn announcement(&self, now: Millis) -> Option<Announcement> {
         let is_recent = self.revision > 0 && now.saturating_sub(self.since) < ENDED_REPORTED_FOR;
         let is_reported = self.rate.is_some() || is_recent;
-        is_reported.then_some(Word::RateLimit {
+        is_reported.then_some(Announcement::RateLimit {
             revision: self.revision,
             limit: self.rate,
         })
--- a/src/gateway/targets/notices.rs
+++ b/src/gateway/targets/notices.rs
@@ -7,7 +7,7 @@
 use crate::gateway::decision::limit::{self, Usage};
 use crate::gateway::key::TargetKey;
 use crate::gateway::members::Members;
-use crate::gateway::notice::{Notice, Report, Said, Word};
+use crate::gateway::notice::{Announcement, Notice, Report, Said};
 use crate::units::Millis;
 
 /// Longest back-off that is applied: a target that wants no requests for longer has to announce that it leaves.
@@ -24,7 +24,7 @@
         key: TargetKey,
         sent: Millis,
         notice: &Notice,
-    ) -> Vec<Word> {
+    ) -> Vec<Announcement> {
         let target = self.get_mut(key);
         let mut news = Vec::new();
         if let Ok(rate) = notice.rate_limit
@@ -36,7 +36,7 @@
             target.backoff_until = target.backoff_until.max(now + rest.min(BACKOFF_MAX));
         }
         if notice.is_leaving == Ok(true) && !std::mem::replace(&mut target.is_leaving, true) {
-            news.push(Word::Leaving);
+            news.push(Announcement::Leaving);
         }
         news
     }
@@ -45,9 +45,9 @@
     pub fn merge(&mut self, now: Millis, report: &Report) -> Option<TargetKey> {
         let key = *self.by_hash.get(&report.instance)?;
         let target = self.get_mut(key);
-        let is_news = match report.word {
-            Word::RateLimit { revision, limit } => target.limit.merge(now, revision, limit),
-            Word::Leaving => !std::mem::replace(&mut target.is_leaving, true),
+        let is_news = match report.announcement {
+            Announcement::RateLimit { revision, limit } => target.limit.merge(now, revision, limit),
+            Announcement::Leaving => !std::mem::replace(&mut target.is_leaving, true),
         };
         is_news.then_some(key)
     }
@@ -58,9 +58,12 @@
         let current = self.known().filter(|target| !target.ended.is_cancelled());
         let reports = current.flat_map(|target| {
             let instance = target.hash();
-            let leaving = target.is_leaving.then_some(Word::Leaving);
+            let leaving = target.is_leaving.then_some(Announcement::Leaving);
             let announcements = target.limit.announcement(now).into_iter().chain(leaving);
-            announcements.map(move |word| Report { instance, word })
+            announcements.map(move |announcement| Report {
+                instance,
+                announcement,
+            })
         });
         let mut reports: Vec<Report> = reports.collect();
         if reports.len() > REPORTS_MAX {
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -6,7 +6,7 @@
 use fleet::{HEARTBEAT, NOW, members, most_within, router};
 use lanedeck::gateway::key::TargetKey;
 use lanedeck::gateway::members::Members;
-use lanedeck::gateway::notice::{Notice, Rate, Report, Word};
+use lanedeck::gateway::notice::{Announcement, Notice, Rate, Report};
 use lanedeck::gateway::targets::Targets;
 use lanedeck::units::Millis;
 
@@ -54,7 +54,7 @@
         self.targets.note_send(now, &self.members, KEY);
     }
 
-    fn hear(&mut self, now: Millis, sent: Millis, notice: &Notice) -> Option<Word> {
+    fn hear(&mut self, now: Millis, sent: Millis, notice: &Notice) -> Option<Announcement> {
         let news = self.targets.hear(now, KEY, sent, notice);
         news.first().copied()
     }
@@ -236,8 +236,8 @@
     let (told, known) = (started.targets.reports(now, 0), old.targets.reports(now, 0));
     assert_eq!(told, known);
     assert!(matches!(
-        known[0].word,
-        Word::RateLimit { limit: Some(_), .. }
+        known[0].announcement,
+        Announcement::RateLimit { limit: Some(_), .. }
     ));
 }
 
@@ -260,7 +260,7 @@
                 old.extend(views[from].targets.reports(now, 0));
                 let report = *input.choose(&old).unwrap_or(&Report {
                     instance: 0,
-                    word: Word::RateLimit {
+                    announcement: Announcement::RateLimit {
                         revision: 0,
                         limit: None,
                     },
--- a/tests/pinned_gateway.rs
+++ b/tests/pinned_gateway.rs
@@ -20,7 +20,7 @@
 use lanedeck::gateway::members::Router;
 use lanedeck::gateway::message::{Heartbeat, Reply, Request};
 use lanedeck::gateway::metrics::Metrics;
-use lanedeck::gateway::notice::{Rate, Report, Word};
+use lanedeck::gateway::notice::{Announcement, Rate, Report};
 use lanedeck::gateway::reply;
 use lanedeck::gateway::route::Kind;
 use lanedeck::gateway::targets::{Outstanding, View};
@@ -157,20 +157,20 @@
 }
 
 fn reports() -> Vec<Report> {
-    let limit = Word::RateLimit {
+    let limit = Announcement::RateLimit {
         revision: 3,
         limit: Rate::new(1.75),
     };
-    let ended = Word::RateLimit {
+    let ended = Announcement::RateLimit {
         revision: 4,
         limit: None,
     };
-    let words = [limit, ended, Word::Leaving].into_iter();
-    let report = |word| Report {
+    let announcements = [limit, ended, Announcement::Leaving].into_iter();
+    let report = |announcement| Report {
         instance: 0x0102_0304_0506_0708,
-        word,
+        announcement,
     };
-    words.map(report).collect()
+    announcements.map(report).collect()
 }
 
 #[test]
