--- a/src/gateway/control/notices.rs
+++ b/src/gateway/control/notices.rs
@@ -41,9 +41,9 @@
 
 /// Publishes what targets say, for operators.
 fn publish(control: &Control) {
-    let said = control.state.borrow().targets.said(control.now());
-    if !(said.is_empty() && control.shared.said.load().is_empty()) {
-        control.shared.said.store(Arc::new(said));
+    let announced = control.state.borrow().targets.announced(control.now());
+    if !(announced.is_empty() && control.shared.announced.load().is_empty()) {
+        control.shared.announced.store(Arc::new(announced));
     }
 }
 
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -68,7 +68,7 @@
                 text.push_str(&metrics::bad_entries(&shared.bad_entries));
                 let returns = shared.store_returns.get();
                 text.push_str(&metrics::store_era(shared.store_era(), returns));
-                text.push_str(&notice::text(&shared.said.load(), &shared.notices));
+                text.push_str(&notice::text(&shared.announced.load(), &shared.notices));
                 let refused = shared.quarantine_refused.get();
                 text.push_str(&quarantine::text(&shared.quarantine.load(), refused));
                 plain(StatusCode::OK, "text/plain", Body::full(text))
--- a/src/gateway/notice/mod.rs
+++ b/src/gateway/notice/mod.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-pub use self::said::{Counts, Said, text};
+pub use self::said::{AnnouncedState, Counts, text};
 use crate::units::Millis;
 
 /// Requests per second that a target accepts from all routers together; finite and not negative.
--- a/src/gateway/notice/said.rs
+++ b/src/gateway/notice/said.rs
@@ -8,7 +8,7 @@
 
 /// What a target currently announces.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct AnnouncedState {
     /// Its instance.
     pub instance: String,
     /// Its rate limit.
@@ -16,7 +16,7 @@
     /// Whether it leaves.
     pub is_leaving: bool,
     /// Remaining time, as of publication, for which it asked this router to send no requests.
-    pub rest_left: Millis,
+    pub backoff_left: Millis,
 }
 
 /// Number of new announcements by targets, by kind.
@@ -45,7 +45,7 @@
 }
 
 /// Renders the metrics: the counts, and the current announcements of each target.
-pub fn text(said: &[Said], counts: &Counts) -> String {
+pub fn text(announced: &[AnnouncedState], counts: &Counts) -> String {
     let mut text = String::new();
     let kinds = [
         ("rate_limit", &counts.rate_limit),
@@ -61,26 +61,26 @@
             "lanedeck_target_notices_total{{kind=\"{kind}\"}} {count}"
         );
     }
-    for one in said {
-        write_said(&mut text, one);
+    for state in announced {
+        write_announced(&mut text, state);
     }
     text
 }
 
-fn write_said(text: &mut String, said: &Said) {
-    let instance = &said.instance;
-    if let Some(limit) = said.rate_limit {
+fn write_announced(text: &mut String, announced: &AnnouncedState) {
+    let instance = &announced.instance;
+    if let Some(limit) = announced.rate_limit {
         let limit = limit.per_second();
         let _ = writeln!(
             text,
             "lanedeck_target_rate_limit{{instance=\"{instance}\"}} {limit}"
         );
     }
-    if said.is_leaving {
+    if announced.is_leaving {
         let _ = writeln!(text, "lanedeck_target_leaving{{instance=\"{instance}\"}} 1");
     }
-    if said.rest_left > Millis::ZERO {
-        let seconds = said.rest_left.0 as f64 / 1_000.0;
+    if announced.backoff_left > Millis::ZERO {
+        let seconds = announced.backoff_left.0 as f64 / 1_000.0;
         let _ = writeln!(
             text,
             "lanedeck_target_rest_seconds{{instance=\"{instance}\"}} {seconds}"
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -16,7 +16,7 @@
 
 use super::dialect::BadEntry;
 use super::metrics::{Counter, Metrics};
-use super::notice::{Counts, Said};
+use super::notice::{AnnouncedState, Counts};
 use super::quarantine::Held;
 use super::route::Config;
 use super::stop::Progress;
@@ -43,7 +43,7 @@
     /// Entries of the list of targets that could not be used, by cause.
     pub bad_entries: [Counter; BadEntry::CAUSES.len()],
     /// What targets say of themselves.
-    pub said: ArcSwap<Vec<Said>>,
+    pub announced: ArcSwap<Vec<AnnouncedState>>,
     /// How often they said something new.
     pub notices: Counts,
     /// Requests that are held back.
--- a/src/gateway/targets/notices.rs
+++ b/src/gateway/targets/notices.rs
@@ -7,7 +7,7 @@
 use crate::gateway::decision::limit::{self, Usage};
 use crate::gateway::key::TargetKey;
 use crate::gateway::members::Members;
-use crate::gateway::notice::{Announcement, Notice, Report, Said};
+use crate::gateway::notice::{AnnouncedState, Announcement, Notice, Report};
 use crate::units::Millis;
 
 /// Longest back-off that is applied: a target that wants no requests for longer has to announce that it leaves.
@@ -75,18 +75,19 @@
     }
 
     /// What the listed targets currently announce, for operators.
-    pub fn said(&self, now: Millis) -> Vec<Said> {
-        let said = self.listed().filter_map(|target| {
-            let said = Said {
+    pub fn announced(&self, now: Millis) -> Vec<AnnouncedState> {
+        let announced = self.listed().filter_map(|target| {
+            let announced = AnnouncedState {
                 instance: target.listing.instance.clone(),
                 rate_limit: target.limit.in_force().map(|(rate, _)| rate),
                 is_leaving: target.is_leaving,
-                rest_left: target.backoff_until.saturating_sub(now),
+                backoff_left: target.backoff_until.saturating_sub(now),
             };
-            let is_resting = said.rest_left > Millis::ZERO;
-            (said.rate_limit.is_some() || said.is_leaving || is_resting).then_some(said)
+            let is_backing_off = announced.backoff_left > Millis::ZERO;
+            (announced.rate_limit.is_some() || announced.is_leaving || is_backing_off)
+                .then_some(announced)
         });
-        said.collect()
+        announced.collect()
     }
 
     /// The targets of a service that accept requests, but because of their announcements none from this router now.
