--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -214,7 +214,7 @@
             return Vec::new();
         };
         let sent = running.sent;
-        let news = self.targets.hear(now, target, sent, notice);
+        let news = self.targets.apply_notice(now, target, sent, notice);
         let instance = &self.targets.get(target).listing.instance;
         for error in notice.errors() {
             tracing::warn!(event = "notice_refused", %instance, %error);
--- a/src/gateway/targets/notices.rs
+++ b/src/gateway/targets/notices.rs
@@ -18,7 +18,7 @@
 impl Targets {
     /// Applies the notice in the response to a request that was sent at `sent`. Returns the announcements that changed
     /// something.
-    pub fn hear(
+    pub fn apply_notice(
         &mut self,
         now: Millis,
         key: TargetKey,
--- a/tests/leaving_word.rs
+++ b/tests/leaving_word.rs
@@ -37,22 +37,27 @@
 #[test]
 fn binds_at_once() {
     let mut targets = targets();
-    assert_eq!(targets.hear(NOW, TargetKey(0), NOW, &LEAVING).len(), 1);
+    assert_eq!(
+        targets.apply_notice(NOW, TargetKey(0), NOW, &LEAVING).len(),
+        1
+    );
     assert!(
-        targets.hear(NOW, TargetKey(0), NOW, &LEAVING).is_empty(),
+        targets
+            .apply_notice(NOW, TargetKey(0), NOW, &LEAVING)
+            .is_empty(),
         "a repeated announcement changes nothing"
     );
     assert_eq!(usable(&targets), [TargetKey(1)]);
     // Also if no other target is left, and whatever later responses announce.
-    targets.hear(NOW, TargetKey(1), NOW, &LEAVING);
-    targets.hear(NOW, TargetKey(1), NOW, &Notice::default());
+    targets.apply_notice(NOW, TargetKey(1), NOW, &LEAVING);
+    targets.apply_notice(NOW, TargetKey(1), NOW, &Notice::default());
     assert!(usable(&targets).is_empty());
 }
 
 #[test]
 fn entry_lags_behind() {
     let mut targets = targets();
-    targets.hear(NOW, TargetKey(0), NOW, &LEAVING);
+    targets.apply_notice(NOW, TargetKey(0), NOW, &LEAVING);
     assert_eq!(targets.list(listing(100)), Change::Same);
     assert_eq!(targets.list_maybe_old(listing(100)), Change::Same);
     assert_eq!(usable(&targets), [TargetKey(1)]);
@@ -66,7 +71,7 @@
 #[test]
 fn ends_with_incarnation() {
     let mut targets = targets();
-    targets.hear(NOW, TargetKey(0), NOW, &LEAVING);
+    targets.apply_notice(NOW, TargetKey(0), NOW, &LEAVING);
     targets.list(listing(200));
     assert_eq!(usable(&targets).len(), 2);
 }
@@ -74,7 +79,7 @@
 #[test]
 fn told_to_others() {
     let (mut reporter, mut other) = (targets(), targets());
-    reporter.hear(NOW, TargetKey(0), NOW, &LEAVING);
+    reporter.apply_notice(NOW, TargetKey(0), NOW, &LEAVING);
     for report in reporter.reports(NOW, 0) {
         assert_eq!(other.merge(NOW, &report), Some(TargetKey(0)));
         assert_eq!(
@@ -99,7 +104,7 @@
     let mut reporter = Targets::default();
     for number in 0..200 {
         reporter.list(listed::listing(number));
-        reporter.hear(NOW, TargetKey(usize::from(number)), NOW, &LEAVING);
+        reporter.apply_notice(NOW, TargetKey(usize::from(number)), NOW, &LEAVING);
     }
     let reported = (0..4).flat_map(|turn| reporter.reports(NOW, turn));
     let reported: std::collections::HashSet<u64> = reported.map(|report| report.instance).collect();
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -55,7 +55,7 @@
     }
 
     fn hear(&mut self, now: Millis, sent: Millis, notice: &Notice) -> Option<Announcement> {
-        let news = self.targets.hear(now, KEY, sent, notice);
+        let news = self.targets.apply_notice(now, KEY, sent, notice);
         news.first().copied()
     }
 
--- a/tests/rest_asked.rs
+++ b/tests/rest_asked.rs
@@ -39,7 +39,7 @@
 fn kept_to_its_end() {
     let mut targets = targets();
     let until = NOW + Millis(3_000);
-    targets.hear(NOW, KEY, NOW, &backoff_for(3_000));
+    targets.apply_notice(NOW, KEY, NOW, &backoff_for(3_000));
     assert_eq!(barred(&targets, NOW), (1, Some(until)));
     assert_eq!(barred(&targets, NOW + Millis(2_999)), (1, Some(until)));
     assert_eq!(barred(&targets, until), (0, None));
@@ -49,17 +49,17 @@
 #[test]
 fn ends_as_said() {
     let mut targets = targets();
-    targets.hear(NOW, KEY, NOW, &backoff_for(3_000));
+    targets.apply_notice(NOW, KEY, NOW, &backoff_for(3_000));
     let later = NOW + Millis(100);
-    targets.hear(later, KEY, later, &Notice::default());
-    targets.hear(later, KEY, later, &backoff_for(200));
+    targets.apply_notice(later, KEY, later, &Notice::default());
+    targets.apply_notice(later, KEY, later, &backoff_for(200));
     assert_eq!(barred(&targets, NOW + Millis(2_999)).0, 1);
 }
 
 #[test]
 fn nothing_asked() {
     let mut targets = targets();
-    targets.hear(NOW, KEY, NOW, &backoff_for(0));
+    targets.apply_notice(NOW, KEY, NOW, &backoff_for(0));
     assert_eq!(barred(&targets, NOW), (0, None));
 }
 
@@ -67,7 +67,7 @@
 #[test]
 fn absurdly_long() {
     let mut targets = targets();
-    targets.hear(NOW, KEY, NOW, &backoff_for(u64::MAX));
+    targets.apply_notice(NOW, KEY, NOW, &backoff_for(u64::MAX));
     assert_eq!(barred(&targets, NOW + Millis(3_600_000)), (0, None));
 }
 
@@ -75,7 +75,7 @@
 #[test]
 fn not_told() {
     let mut targets = targets();
-    targets.hear(NOW, KEY, NOW, &backoff_for(3_000));
+    targets.apply_notice(NOW, KEY, NOW, &backoff_for(3_000));
     assert!(targets.reports(NOW, 0).is_empty());
 }
 
