--- a/src/gateway/control/notices.rs
+++ b/src/gateway/control/notices.rs
@@ -34,7 +34,7 @@
     if !news.is_empty() {
         control.notice_changed.notify_one();
     }
-    if !news.is_empty() || matches!(notice.rest, Ok(Some(_))) {
+    if !news.is_empty() || matches!(notice.retry_after, Ok(Some(_))) {
         publish(control);
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -234,7 +234,7 @@
             }
             return Err(if reply.wrong_instance {
                 Failure::WrongInstance
-            } else if matches!(reply.notice.rest, Ok(Some(_))) {
+            } else if matches!(reply.notice.retry_after, Ok(Some(_))) {
                 Failure::AskedRest
             } else {
                 Failure::Refused
--- a/src/gateway/notice/mod.rs
+++ b/src/gateway/notice/mod.rs
@@ -54,7 +54,7 @@
     /// Whether it leaves: it completes the requests that it has, then exits.
     pub is_leaving: Result<bool, BadNotice>,
     /// How long it asks the router whose request it refuses to send no requests, if it does.
-    pub rest: Result<Option<Millis>, BadNotice>,
+    pub retry_after: Result<Option<Millis>, BadNotice>,
 }
 
 impl Notice {
@@ -63,7 +63,7 @@
         let errors = [
             self.rate_limit.err(),
             self.is_leaving.err(),
-            self.rest.err(),
+            self.retry_after.err(),
         ];
         errors.into_iter().flatten()
     }
@@ -74,7 +74,7 @@
         Self {
             rate_limit: Ok(None),
             is_leaving: Ok(false),
-            rest: Ok(None),
+            retry_after: Ok(None),
         }
     }
 }
--- a/src/gateway/notice/said.rs
+++ b/src/gateway/notice/said.rs
@@ -37,7 +37,7 @@
                 Announcement::Leaving => self.leaving.add(1),
             }
         }
-        if let Ok(Some(_)) = notice.rest {
+        if let Ok(Some(_)) = notice.retry_after {
             self.rest.add(1);
         }
         self.unreadable.add(notice.errors().count() as u64);
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -221,7 +221,7 @@
         }
         let id = &running.job.id;
         let sent_ago_ms = now.saturating_sub(sent).0;
-        if let Ok(Some(rest)) = notice.rest {
+        if let Ok(Some(rest)) = notice.retry_after {
             tracing::info!(event = "rest_heard", %instance, %id, rest_ms = rest.0);
         }
         for announcement in &news {
--- a/src/gateway/targets/notices.rs
+++ b/src/gateway/targets/notices.rs
@@ -32,8 +32,8 @@
         {
             news.extend(target.limit.announcement(now));
         }
-        if let Ok(Some(rest)) = notice.rest {
-            target.backoff_until = target.backoff_until.max(now + rest.min(BACKOFF_MAX));
+        if let Ok(Some(retry_after)) = notice.retry_after {
+            target.backoff_until = target.backoff_until.max(now + retry_after.min(BACKOFF_MAX));
         }
         if notice.is_leaving == Ok(true) && !std::mem::replace(&mut target.is_leaving, true) {
             news.push(Announcement::Leaving);
--- a/tests/leaving_word.rs
+++ b/tests/leaving_word.rs
@@ -12,7 +12,7 @@
 const LEAVING: Notice = Notice {
     rate_limit: Ok(None),
     is_leaving: Ok(true),
-    rest: Ok(None),
+    retry_after: Ok(None),
 };
 
 /// The entry of an incarnation of the first target.
--- a/tests/notice_headers.rs
+++ b/tests/notice_headers.rs
@@ -68,14 +68,14 @@
 fn rests() {
     for (text, millis) in [("3", 3_000), ("1.5", 1_500), ("0", 0), ("0.0001", 1)] {
         let notice = read(503, &[("retry-after", text.as_bytes())]);
-        assert_eq!(notice.rest, Ok(Some(Millis(millis))), "{text:?}");
+        assert_eq!(notice.retry_after, Ok(Some(Millis(millis))), "{text:?}");
     }
     // In responses other than refusals, the header may be meant for callers.
-    assert_eq!(read(200, &[("retry-after", b"3")]).rest, Ok(None));
+    assert_eq!(read(200, &[("retry-after", b"3")]).retry_after, Ok(None));
     for text in ["-1", "soon", "inf", "Wed, 21 Oct 2026 07:28:00 GMT"] {
         let notice = read(503, &[("retry-after", text.as_bytes())]);
         assert!(
-            matches!(notice.rest, Err(BadNotice::Value { .. })),
+            matches!(notice.retry_after, Err(BadNotice::Value { .. })),
             "{text:?}"
         );
     }
@@ -91,7 +91,7 @@
     ];
     let notice = read(503, &headers);
     assert_eq!(notice.is_leaving, Ok(true));
-    assert_eq!(notice.rest, Ok(Some(Millis(2_000))));
+    assert_eq!(notice.retry_after, Ok(Some(Millis(2_000))));
     assert_eq!(notice.errors().count(), 1);
 }
 
--- a/tests/rest_asked.rs
+++ b/tests/rest_asked.rs
@@ -17,7 +17,7 @@
 
 fn backoff_for(millis: u64) -> Notice {
     Notice {
-        rest: Ok(Some(Millis(millis))),
+        retry_after: Ok(Some(Millis(millis))),
         ..Notice::default()
     }
 }
