--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -291,7 +291,7 @@
         let running = self.running.get(&key)?;
         let target = running.target?;
         let listed = self.targets.get(target);
-        if listed.has_said_leaving() {
+        if listed.has_announced_leaving() {
             return None;
         }
         let broken = Broken {
@@ -313,7 +313,7 @@
             Freshness::MayBeOld => self.targets.list_maybe_old(listing),
         };
         if let Change::Restarted { former } = change
-            && !self.targets.get(former).has_said_leaving()
+            && !self.targets.get(former).has_announced_leaving()
         {
             self.crashed(now, former);
         }
--- a/src/gateway/targets/target.rs
+++ b/src/gateway/targets/target.rs
@@ -76,12 +76,12 @@
 
     /// Whether it accepts requests.
     pub fn accepts_requests(&self) -> bool {
-        self.is_listed && !self.has_said_leaving()
+        self.is_listed && !self.has_announced_leaving()
     }
 
     /// Whether it has announced, in its entry or in a response, that it leaves, so its end is planned. A missing entry
     /// is no such announcement, since entries also disappear some time after a crash.
-    pub fn has_said_leaving(&self) -> bool {
+    pub fn has_announced_leaving(&self) -> bool {
         self.is_leaving || !self.listing.is_ready
     }
 
