--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -17,7 +17,7 @@
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::key::{JobKey, TargetKey};
 use crate::gateway::message::{Reply, Request};
-use crate::gateway::quarantine::{Held, Hold, Report, Row};
+use crate::gateway::quarantine::{Hold, QuarantinedRequest, Report, Row};
 use crate::store::Record;
 use crate::units::Millis;
 use crate::{util, wall_clock};
@@ -94,7 +94,7 @@
 
 fn publish(control: &Control, now: Millis, holds: &BTreeMap<Fingerprint, Hold>) {
     let instant = Instant::now();
-    let held = holds.iter().map(|(fingerprint, hold)| Held {
+    let held = holds.iter().map(|(fingerprint, hold)| QuarantinedRequest {
         fingerprint: *fingerprint,
         crashes: hold.crashes,
         until: instant + Duration::from_millis(hold.left(now).0),
--- a/src/gateway/quarantine/held.rs
+++ b/src/gateway/quarantine/held.rs
@@ -8,7 +8,7 @@
 
 /// A quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
+pub struct QuarantinedRequest {
     /// The request.
     pub fingerprint: Fingerprint,
     /// The number of crashes that it is quarantined for.
@@ -19,7 +19,7 @@
 
 /// Renders the metrics: the number of requests refused because of quarantine, and each quarantined request with its
 /// crashes and the remaining time.
-pub fn text(held: &[Held], refused: u64) -> String {
+pub fn text(held: &[QuarantinedRequest], refused: u64) -> String {
     let now = Instant::now();
     let mut text = String::new();
     // Writing to a string cannot fail, here and below.
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use self::answered::Answered;
-pub use self::held::{Held, text};
+pub use self::held::{QuarantinedRequest, text};
 pub use self::report::{Report, Row};
 use super::decision::quarantine::{self, Crash};
 use super::fingerprint::Fingerprint;
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -17,7 +17,7 @@
 use super::dialect::BadEntry;
 use super::metrics::{Counter, Metrics};
 use super::notice::{AnnouncedState, Counts};
-use super::quarantine::Held;
+use super::quarantine::QuarantinedRequest;
 use super::route::Config;
 use super::stop::Progress;
 use crate::store::{CallError, Era, Topic};
@@ -47,7 +47,7 @@
     /// How often they said something new.
     pub notices: Counts,
     /// Requests that are held back.
-    pub quarantine: ArcSwap<Vec<Held>>,
+    pub quarantine: ArcSwap<Vec<QuarantinedRequest>>,
     /// Requests that were refused since they are held back.
     pub quarantine_refused: Counter,
     /// Counters and histograms.
