--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -46,7 +46,7 @@
 
 /// An attempt that broke off at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken {
+pub struct BrokenAttempt {
     /// The request.
     pub fingerprint: Fingerprint,
     /// Hash of the target's instance.
@@ -134,7 +134,7 @@
     suspects: HashMap<Fingerprint, Suspect>,
     answered: Answered,
     /// Attempts that broke off at targets without a known crash, and when.
-    unconfirmed: VecDeque<(Millis, Broken)>,
+    unconfirmed: VecDeque<(Millis, BrokenAttempt)>,
     /// Targets that crashed recently, and when.
     crashed: VecDeque<(Millis, u64)>,
     holds: BTreeMap<Fingerprint, Hold>,
@@ -153,7 +153,7 @@
     }
 
     /// Records an attempt that broke off; returns whether its target is known to have crashed.
-    pub fn note_broken(&mut self, now: Millis, broken: Broken) -> bool {
+    pub fn note_broken(&mut self, now: Millis, broken: BrokenAttempt) -> bool {
         let has_crashed = self
             .crashed
             .iter()
@@ -167,7 +167,7 @@
     }
 
     /// Records the crash of a target; returns the attempts that recently broke off there.
-    pub fn note_crash(&mut self, now: Millis, instance: u64) -> Vec<Broken> {
+    pub fn note_crash(&mut self, now: Millis, instance: u64) -> Vec<BrokenAttempt> {
         self.crashed
             .retain(|(at, _)| now.saturating_sub(*at) < CONFIRMATION_WINDOW);
         push_bounded(&mut self.crashed, (now, instance));
@@ -184,7 +184,7 @@
     }
 
     /// Adds a crash to the request of an attempt that broke off.
-    fn attribute_crash(&mut self, now: Millis, at: Millis, broken: Broken) {
+    fn attribute_crash(&mut self, now: Millis, at: Millis, broken: BrokenAttempt) {
         let crash = Crash {
             instance: broken.instance,
             sent: broken.sent,
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -21,7 +21,7 @@
 use super::key::{JobKey, TargetKey};
 use super::members::{Members, Router};
 use super::notice::{Announcement, Notice, Report};
-use super::quarantine::{Broken, Quarantine};
+use super::quarantine::{BrokenAttempt, Quarantine};
 use super::targets::{Change, Freshness, Targets};
 use crate::boot_clock::Reading;
 use crate::ejection::Outcome;
@@ -294,7 +294,7 @@
         if listed.has_announced_leaving() {
             return None;
         }
-        let broken = Broken {
+        let broken = BrokenAttempt {
             fingerprint: running.job.fingerprint,
             instance: listed.hash(),
             sent: running.sent,
@@ -404,7 +404,7 @@
 }
 
 /// Logs that a request was beside a crash: what a request that is held back later was decided by.
-fn log_crash(now: Millis, broken: &Broken, instance: &str) {
+fn log_crash(now: Millis, broken: &BrokenAttempt, instance: &str) {
     tracing::info!(
         event = "crash_noted",
         fingerprint = %broken.fingerprint,
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -5,7 +5,7 @@
 use arbtest::arbtest;
 use lanedeck::gateway::fingerprint::Fingerprint;
 use lanedeck::gateway::message::Request;
-use lanedeck::gateway::quarantine::{Broken, Quarantine, RETENTION, Report};
+use lanedeck::gateway::quarantine::{BrokenAttempt, Quarantine, RETENTION, Report};
 use lanedeck::units::Millis;
 use lanedeck::util;
 use rand::rngs::StdRng;
@@ -30,7 +30,7 @@
     for fingerprint in requests {
         quarantine.note_broken(
             at(ms),
-            Broken {
+            BrokenAttempt {
                 fingerprint: *fingerprint,
                 instance,
                 sent: at(ms - 100),
@@ -83,7 +83,7 @@
 fn connection_alone() {
     let mut quarantine = Quarantine::default();
     for number in 1..=9 {
-        let broken = Broken {
+        let broken = BrokenAttempt {
             fingerprint: request(7),
             instance: number,
             sent: at(1_000 * number),
