--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -122,9 +122,9 @@
         if told_again.elapsed() >= TELL_AGAIN {
             told_again = Instant::now();
             state.quarantine.forget(now);
-            state.quarantine.tell_holds_again();
+            state.quarantine.report_holds_again();
         }
-        let reports = state.quarantine.tell(now);
+        let reports = state.quarantine.next_reports(now);
         drop(state);
         update(&control);
         if reports.is_empty() {
@@ -188,7 +188,7 @@
     if is_own {
         let mut state = control.state.borrow_mut();
         for report in &reports {
-            state.quarantine.adopt(report.fingerprint);
+            state.quarantine.mark_own(report.fingerprint);
         }
     }
     true
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -319,7 +319,7 @@
     }
 
     /// The reports to send to other routers in this round.
-    pub fn tell(&mut self, now: Millis) -> Vec<Report> {
+    pub fn next_reports(&mut self, now: Millis) -> Vec<Report> {
         let suspects = self.suspects.iter_mut();
         let mut pending: Vec<(&Fingerprint, &mut Suspect)> = suspects
             .filter(|(_, suspect)| suspect.rounds_reported < GOSSIP_ROUNDS)
@@ -342,7 +342,7 @@
     }
 
     /// Reports the quarantined requests once more, for routers that have started since.
-    pub fn tell_holds_again(&mut self) {
+    pub fn report_holds_again(&mut self) {
         for fingerprint in self.holds.keys() {
             if let Some(suspect) = self.suspects.get_mut(fingerprint) {
                 suspect.rounds_reported = suspect.rounds_reported.min(GOSSIP_ROUNDS - 1);
@@ -367,7 +367,7 @@
 
     /// Marks a request that the row of this router's previous process contains, so that it stays in the row while it is
     /// quarantined.
-    pub fn adopt(&mut self, fingerprint: Fingerprint) {
+    pub fn mark_own(&mut self, fingerprint: Fingerprint) {
         if let Some(suspect) = self.suspects.get_mut(&fingerprint) {
             suspect.has_own_crash = true;
         }
--- a/tests/quarantine_rules.rs
+++ b/tests/quarantine_rules.rs
@@ -96,7 +96,7 @@
     );
     quarantine.note_crash(at(20_000), 9);
     assert!(
-        quarantine.tell(at(20_000)).is_empty(),
+        quarantine.next_reports(at(20_000)).is_empty(),
         "a crash long after the attempt is not attributed to it"
     );
 }
@@ -141,11 +141,11 @@
     }
     assert!(is_held(&here, 3_100, request(7)));
     there.note_answered(at(500), request(7));
-    for report in here.tell(at(3_100)) {
+    for report in here.next_reports(at(3_100)) {
         there.merge(at(3_100), &report);
     }
     assert!(!is_held(&there, 3_100, request(7)));
-    for report in there.tell(at(3_200)) {
+    for report in there.next_reports(at(3_200)) {
         here.merge(at(3_200), &report);
     }
     assert!(
@@ -157,7 +157,7 @@
     for number in 1..=3 {
         crash(&mut late, 1_000 * number, number, &[request(7)]);
     }
-    for report in late.tell(at(60_000)) {
+    for report in late.next_reports(at(60_000)) {
         here.merge(at(60_000), &report);
     }
     assert!(!is_held(&here, 60_000, request(7)));
@@ -212,7 +212,7 @@
             &[of_customer(1, number)],
         );
     }
-    let reports = quarantine.tell(at(30_000));
+    let reports = quarantine.next_reports(at(30_000));
     let bytes = util::encode(&Request::Suspects(reports)).len();
     assert!(bytes < 600, "{bytes} bytes are sent in a round");
     crash(&mut quarantine, 40_000, 30_000, &[victim]);
@@ -230,7 +230,7 @@
         crash(&mut here, 1_000 * number, number, &[request(7)]);
     }
     let mut there = Quarantine::default();
-    for mut report in here.tell(at(3_100)) {
+    for mut report in here.next_reports(at(3_100)) {
         for crash in &mut report.crashes {
             crash.ago = Millis(u64::MAX);
             crash.sent_ago = Millis(u64::MAX - 1);
@@ -261,7 +261,7 @@
         let now = at(20_000);
         let mut reports: Vec<Report> = Vec::new();
         for source in &mut sources {
-            reports.extend(source.tell(now));
+            reports.extend(source.next_reports(now));
         }
         let mut views = [Quarantine::default(), Quarantine::default()];
         for report in &reports {
@@ -302,7 +302,7 @@
         ms += ROUND;
         assert!(ms <= 3_600, "not all routers know after two seconds");
         for sender in 0..ROUTERS {
-            let reports = fleet[sender].tell(at(ms));
+            let reports = fleet[sender].next_reports(at(ms));
             for _ in 0..3 {
                 bytes += util::encode(&reports).len();
                 let other = random.random_range(0..ROUTERS);
