--- a/src/gateway/control/notices.rs
+++ b/src/gateway/control/notices.rs
@@ -30,7 +30,7 @@
 pub(super) fn heard(control: &Control, job: JobKey, notice: &Notice) {
     let now = control.now();
     let news = control.state.borrow_mut().heard(now, job, notice);
-    control.shared.notices.note(notice, &news);
+    control.shared.notices.record(notice, &news);
     if !news.is_empty() {
         control.notice_changed.notify_one();
     }
--- a/src/gateway/notice/mod.rs
+++ b/src/gateway/notice/mod.rs
@@ -53,7 +53,7 @@
     pub rate_limit: Result<Option<Rate>, BadNotice>,
     /// Whether it leaves: it completes the requests that it has, then exits.
     pub is_leaving: Result<bool, BadNotice>,
-    /// How long it asks the router whose request it refuses to send no requests, if it does.
+    /// The `Retry-After` of a refusal: how long the router whose request was refused should send no requests.
     pub retry_after: Result<Option<Millis>, BadNotice>,
 }
 
--- a/src/gateway/notice/said.rs
+++ b/src/gateway/notice/said.rs
@@ -30,8 +30,8 @@
 
 impl Counts {
     /// Counts a response's notice, and those of its announcements that changed something.
-    pub fn note(&self, notice: &Notice, news: &[Announcement]) {
-        for announcement in news {
+    pub fn record(&self, notice: &Notice, changes: &[Announcement]) {
+        for announcement in changes {
             match announcement {
                 Announcement::RateLimit { .. } => self.rate_limit.add(1),
                 Announcement::Leaving => self.leaving.add(1),
--- a/src/gateway/targets/notices.rs
+++ b/src/gateway/targets/notices.rs
@@ -26,30 +26,30 @@
         notice: &Notice,
     ) -> Vec<Announcement> {
         let target = self.get_mut(key);
-        let mut news = Vec::new();
+        let mut changes = Vec::new();
         if let Ok(rate) = notice.rate_limit
             && target.limit.observe(now, sent, rate)
         {
-            news.extend(target.limit.announcement(now));
+            changes.extend(target.limit.announcement(now));
         }
         if let Ok(Some(retry_after)) = notice.retry_after {
             target.backoff_until = target.backoff_until.max(now + retry_after.min(BACKOFF_MAX));
         }
         if notice.is_leaving == Ok(true) && !std::mem::replace(&mut target.is_leaving, true) {
-            news.push(Announcement::Leaving);
+            changes.push(Announcement::Leaving);
         }
-        news
+        changes
     }
 
     /// Merges another router's report. Returns the target if the report changed something.
     pub fn merge(&mut self, now: Millis, report: &Report) -> Option<TargetKey> {
         let key = *self.by_hash.get(&report.instance)?;
         let target = self.get_mut(key);
-        let is_news = match report.announcement {
+        let is_change = match report.announcement {
             Announcement::RateLimit { revision, limit } => target.limit.merge(now, revision, limit),
             Announcement::Leaving => !std::mem::replace(&mut target.is_leaving, true),
         };
-        is_news.then_some(key)
+        is_change.then_some(key)
     }
 
     /// The current announcements and recently ended limits, for other routers. If they do not fit in one message, each
