--- a/tests/leaving_word.rs
+++ b/tests/leaving_word.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn binds_at_once() {
+fn effective_at_once() {
     let mut targets = targets();
     assert_eq!(
         targets.apply_notice(NOW, TargetKey(0), NOW, &LEAVING).len(),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn told_to_others() {
+fn reported_to_others() {
     let (mut reporter, mut other) = (targets(), targets());
     reporter.apply_notice(NOW, TargetKey(0), NOW, &LEAVING);
     for report in reporter.reports(NOW, 0) {
@@ -100,7 +100,7 @@
 
 /// Reports that do not fit in one message are sent in turns.
 #[test]
-fn told_in_turn() {
+fn reported_in_turns() {
     let mut reporter = Targets::default();
     for number in 0..200 {
         reporter.list(listed::listing(number));
--- a/tests/rest_asked.rs
+++ b/tests/rest_asked.rs
@@ -73,7 +73,7 @@
 
 /// A back-off only concerns the router that was asked, so it is not reported to others.
 #[test]
-fn not_told() {
+fn not_reported() {
     let mut targets = targets();
     targets.apply_notice(NOW, KEY, NOW, &backoff_for(3_000));
     assert!(targets.reports(NOW, 0).is_empty());
--- a/tests/target_return.rs
+++ b/tests/target_return.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn knows_nothing() {
+fn restart_discards_state() {
     let mut targets = Targets::default();
     targets.list(listing(1, 100));
     targets.list(listing(2, 100));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn behind_the_others() {
+fn outdated_entries() {
     let mut targets = Targets::default();
     targets.list(listing(1, 200));
     assert_eq!(
--- a/tests/target_view.rs
+++ b/tests/target_view.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn gone_is_told() {
+fn removal_is_reported() {
     let mut targets = targets(3);
     targets.unlist(NOW, "i-1");
     let view = targets.view();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn busy_target_is_left() {
+fn busy_target_is_avoided() {
     let mut targets = targets(4);
     let candidates = targets.candidates(NOW, "s", &[]);
     let prompt = prompt(5);
@@ -139,7 +139,7 @@
 
 /// A heartbeat is bounded, and includes the targets with most requests in flight.
 #[test]
-fn told_most() {
+fn busiest_are_reported() {
     let mut targets = targets(300);
     for number in 0..300 {
         let key = TargetKey(number);
