--- a/src/gateway/control/notices.rs
+++ b/src/gateway/control/notices.rs
@@ -30,20 +30,20 @@
 pub(super) fn note_from_target(control: &Control, job: JobKey, notice: &Notice) {
     let now = control.now();
     let news = control.state.borrow_mut().heard(now, job, notice);
-    control.shared.notices.note(notice, &news);
+    control.shared.notices.record(notice, &news);
     if !news.is_empty() {
         control.notice_changed.notify_one();
     }
-    if !news.is_empty() || matches!(notice.rest, Ok(Some(_))) {
+    if !news.is_empty() || matches!(notice.retry_after, Ok(Some(_))) {
         publish(control);
     }
 }
 
 /// Publishes the targets' notices for operators.
 fn publish(control: &Control) {
-    let said = control.state.borrow().targets.said(control.now());
-    if !(said.is_empty() && control.shared.said.load().is_empty()) {
-        control.shared.said.store(Arc::new(said));
+    let announced = control.state.borrow().targets.announced(control.now());
+    if !(announced.is_empty() && control.shared.announced.load().is_empty()) {
+        control.shared.announced.store(Arc::new(announced));
     }
 }
 
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -17,7 +17,7 @@
 use crate::gateway::fingerprint::Fingerprint;
 use crate::gateway::key::{JobKey, TargetKey};
 use crate::gateway::message::{Reply, Request};
-use crate::gateway::quarantine::{Held, Hold, Report, Row};
+use crate::gateway::quarantine::{Hold, QuarantinedRequest, Report, Row};
 use crate::store::Record;
 use crate::units::Millis;
 use crate::{util, wall_clock};
@@ -93,7 +93,7 @@
 
 fn publish(control: &Control, now: Millis, holds: &BTreeMap<Fingerprint, Hold>) {
     let instant = Instant::now();
-    let held = holds.iter().map(|(fingerprint, hold)| Held {
+    let held = holds.iter().map(|(fingerprint, hold)| QuarantinedRequest {
         fingerprint: *fingerprint,
         crashes: hold.crashes,
         until: instant + Duration::from_millis(hold.left(now).0),
@@ -121,9 +121,9 @@
         if repeated_at.elapsed() >= REPEAT_INTERVAL {
             repeated_at = Instant::now();
             state.quarantine.forget(now);
-            state.quarantine.tell_holds_again();
+            state.quarantine.report_holds_again();
         }
-        let reports = state.quarantine.tell(now);
+        let reports = state.quarantine.next_reports(now);
         drop(state);
         publish_changes(&control);
         if reports.is_empty() {
@@ -189,7 +189,7 @@
     if is_own {
         let mut state = control.state.borrow_mut();
         for report in &reports {
-            state.quarantine.adopt(report.fingerprint);
+            state.quarantine.mark_own(report.fingerprint);
         }
     }
     true
--- a/src/gateway/notice/said.rs
+++ b/src/gateway/notice/said.rs
@@ -1,25 +1,25 @@
-//! What targets say of themselves, as operators see it beside the counters.
+//! Metrics of what targets announce of themselves, for operators.
 
 use std::fmt::Write;
 
-use super::{Notice, Rate, Word};
+use super::{Announcement, Notice, Rate};
 use crate::gateway::metrics::Counter;
 use crate::units::Millis;
 
-/// What a target says now.
+/// What a target currently announces.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Said {
+pub struct AnnouncedState {
     /// Its instance.
     pub instance: String,
     /// Its rate limit.
     pub rate_limit: Option<Rate>,
     /// Whether it leaves.
     pub is_leaving: bool,
-    /// How much longer it wants nothing from this router, when this was published.
-    pub rest_left: Millis,
+    /// Remaining time, as of publication, for which it asked this router to send no requests.
+    pub backoff_left: Millis,
 }
 
-/// How often targets said something new, by kind.
+/// Number of new announcements by targets, by kind.
 #[derive(Debug, Default)]
 pub struct Counts {
     rate_limit: Counter,
@@ -29,23 +29,23 @@
 }
 
 impl Counts {
-    /// Counts what an answer said, and what of it was news.
-    pub fn note(&self, notice: &Notice, news: &[Word]) {
-        for word in news {
-            match word {
-                Word::RateLimit { .. } => self.rate_limit.add(1),
-                Word::Leaving => self.leaving.add(1),
+    /// Counts a response's notice, and those of its announcements that changed something.
+    pub fn record(&self, notice: &Notice, changes: &[Announcement]) {
+        for announcement in changes {
+            match announcement {
+                Announcement::RateLimit { .. } => self.rate_limit.add(1),
+                Announcement::Leaving => self.leaving.add(1),
             }
         }
-        if let Ok(Some(_)) = notice.rest {
+        if let Ok(Some(_)) = notice.retry_after {
             self.rest.add(1);
         }
         self.unreadable.add(notice.errors().count() as u64);
     }
 }
 
-/// Lines for the metrics' address: the counts, and for each target that says something what it is.
-pub fn text(said: &[Said], counts: &Counts) -> String {
+/// Renders the metrics: the counts, and the current announcements of each target.
+pub fn text(announced: &[AnnouncedState], counts: &Counts) -> String {
     let mut text = String::new();
     let kinds = [
         ("rate_limit", &counts.rate_limit),
@@ -53,7 +53,7 @@
         ("rest", &counts.rest),
         ("unreadable", &counts.unreadable),
     ];
-    // Writing to a string does not fail; the same holds below.
+    // Writing to a string cannot fail, here and below.
     for (kind, counter) in kinds {
         let count = counter.get();
         let _ = writeln!(
@@ -61,26 +61,26 @@
             "lanedeck_target_notices_total{{kind=\"{kind}\"}} {count}"
         );
     }
-    for one in said {
-        write_said(&mut text, one);
+    for state in announced {
+        write_announced(&mut text, state);
     }
     text
 }
 
-fn write_said(text: &mut String, said: &Said) {
-    let instance = &said.instance;
-    if let Some(limit) = said.rate_limit {
+fn write_announced(text: &mut String, announced: &AnnouncedState) {
+    let instance = &announced.instance;
+    if let Some(limit) = announced.rate_limit {
         let limit = limit.per_second();
         let _ = writeln!(
             text,
             "lanedeck_target_rate_limit{{instance=\"{instance}\"}} {limit}"
         );
     }
-    if said.is_leaving {
+    if announced.is_leaving {
         let _ = writeln!(text, "lanedeck_target_leaving{{instance=\"{instance}\"}} 1");
     }
-    if said.rest_left > Millis::ZERO {
-        let seconds = said.rest_left.0 as f64 / 1_000.0;
+    if announced.backoff_left > Millis::ZERO {
+        let seconds = announced.backoff_left.0 as f64 / 1_000.0;
         let _ = writeln!(
             text,
             "lanedeck_target_rest_seconds{{instance=\"{instance}\"}} {seconds}"
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -16,8 +16,8 @@
 
 use super::dialect::BadEntry;
 use super::metrics::{Counter, Metrics};
-use super::notice::{Counts, Said};
-use super::quarantine::Held;
+use super::notice::{AnnouncedState, Counts};
+use super::quarantine::QuarantinedRequest;
 use super::route::Config;
 use super::stop::Progress;
 use crate::store::{CallError, Era, Topic};
@@ -43,11 +43,11 @@
     /// Entries of the list of targets that could not be used, by cause.
     pub bad_entries: [Counter; BadEntry::CAUSES.len()],
     /// What targets say of themselves.
-    pub said: ArcSwap<Vec<Said>>,
+    pub announced: ArcSwap<Vec<AnnouncedState>>,
     /// How often they said something new.
     pub notices: Counts,
     /// Requests that are held back.
-    pub quarantine: ArcSwap<Vec<Held>>,
+    pub quarantine: ArcSwap<Vec<QuarantinedRequest>>,
     /// Requests that were refused since they are held back.
     pub quarantine_refused: Counter,
     /// Counters and histograms.
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -20,8 +20,8 @@
 use super::job::{Delivery, Ending, Job, Placement};
 use super::key::{JobKey, TargetKey};
 use super::members::{Members, Router};
-use super::notice::{Notice, Report, Word};
-use super::quarantine::{Broken, Quarantine};
+use super::notice::{Announcement, Notice, Report};
+use super::quarantine::{BrokenAttempt, Quarantine};
 use super::targets::{Change, Freshness, Targets};
 use crate::boot_clock::Reading;
 use crate::ejection::Outcome;
@@ -206,7 +206,7 @@
 
     /// Applies a target's notices about itself from the head of its answer; returns those that other routers need to
     /// know.
-    pub fn heard(&mut self, now: Millis, key: JobKey, notice: &Notice) -> Vec<Word> {
+    pub fn heard(&mut self, now: Millis, key: JobKey, notice: &Notice) -> Vec<Announcement> {
         let Some(running) = self.running.get(&key) else {
             return Vec::new();
         };
@@ -214,18 +214,25 @@
             return Vec::new();
         };
         let sent = running.sent;
-        let news = self.targets.hear(now, target, sent, notice);
+        let news = self.targets.apply_notice(now, target, sent, notice);
         let instance = &self.targets.get(target).listing.instance;
         for error in notice.errors() {
             tracing::warn!(event = "notice_refused", %instance, %error);
         }
         let id = &running.job.id;
         let sent_ago_ms = now.saturating_sub(sent).0;
-        if let Ok(Some(rest)) = notice.rest {
+        if let Ok(Some(rest)) = notice.retry_after {
             tracing::info!(event = "rest_heard", %instance, %id, rest_ms = rest.0);
         }
-        for word in &news {
-            tracing::info!(event = "target_says", %instance, %word, source = "answer", %id, sent_ago_ms);
+        for announcement in &news {
+            tracing::info!(
+                event = "target_says",
+                %instance,
+                word = %announcement,
+                source = "answer",
+                %id,
+                sent_ago_ms
+            );
         }
         news
     }
@@ -237,8 +244,14 @@
             if let Some(target) = self.targets.merge(now, report) {
                 is_news = true;
                 let instance = &self.targets.get(target).listing.instance;
-                let word = report.word;
-                tracing::info!(event = "target_says", %instance, %word, source = "link", router);
+                let announcement = report.announcement;
+                tracing::info!(
+                    event = "target_says",
+                    %instance,
+                    word = %announcement,
+                    source = "link",
+                    router
+                );
             }
         }
         is_news
@@ -278,10 +291,10 @@
         let running = self.running.get(&key)?;
         let target = running.target?;
         let listed = self.targets.get(target);
-        if listed.has_said_leaving() {
+        if listed.has_announced_leaving() {
             return None;
         }
-        let broken = Broken {
+        let broken = BrokenAttempt {
             fingerprint: running.job.fingerprint,
             instance: listed.hash(),
             sent: running.sent,
@@ -300,7 +313,7 @@
             Freshness::MayBeOld => self.targets.list_maybe_old(listing),
         };
         if let Change::Restarted { former } = change
-            && !self.targets.get(former).has_said_leaving()
+            && !self.targets.get(former).has_announced_leaving()
         {
             self.crashed(now, former);
         }
@@ -391,7 +404,7 @@
 }
 
 /// Logs that a request was in progress at a target that crashed: the evidence for a later quarantine of the request.
-fn log_crash(now: Millis, broken: &Broken, instance: &str) {
+fn log_crash(now: Millis, broken: &BrokenAttempt, instance: &str) {
     tracing::info!(
         event = "crash_noted",
         fingerprint = %broken.fingerprint,
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -7,7 +7,7 @@
 use fleet::{HEARTBEAT, NOW, members, most_within, router};
 use lanedeck::gateway::key::TargetKey;
 use lanedeck::gateway::members::Members;
-use lanedeck::gateway::notice::{Notice, Rate, Report, Word};
+use lanedeck::gateway::notice::{Announcement, Notice, Rate, Report};
 use lanedeck::gateway::targets::Targets;
 use lanedeck::units::Millis;
 
@@ -55,8 +55,8 @@
         self.targets.note_send(now, &self.members, KEY);
     }
 
-    fn hear(&mut self, now: Millis, sent: Millis, notice: &Notice) -> Option<Word> {
-        let news = self.targets.hear(now, KEY, sent, notice);
+    fn hear(&mut self, now: Millis, sent: Millis, notice: &Notice) -> Option<Announcement> {
+        let news = self.targets.apply_notice(now, KEY, sent, notice);
         news.first().copied()
     }
 
@@ -241,8 +241,8 @@
     let (sent, received) = (started.targets.reports(now, 0), old.targets.reports(now, 0));
     assert_eq!(sent, received);
     assert!(matches!(
-        received[0].word,
-        Word::RateLimit { limit: Some(_), .. }
+        received[0].announcement,
+        Announcement::RateLimit { limit: Some(_), .. }
     ));
 }
 
@@ -266,7 +266,7 @@
                 old.extend(views[from].targets.reports(now, 0));
                 let report = *input.choose(&old).unwrap_or(&Report {
                     instance: 0,
-                    word: Word::RateLimit {
+                    announcement: Announcement::RateLimit {
                         revision: 0,
                         limit: None,
                     },
