--- a/src/store/hedge.rs
+++ b/src/store/hedge.rs
@@ -1,7 +1,7 @@
-//! Hedged reads: the same read is sent again while the first has no answer.
+//! Hedged reads: a read is sent again while it has no answer.
 //!
-//! A store that is slow answers the first of them in the end; one that was silent for a while
-//! answers the next at once. Waiting for the first alone would miss the other.
+//! A slow store answers the first read after a while; a store that was unresponsive and has recovered answers the next
+//! one at once. Waiting for the first read alone would miss the second case.
 
 use std::time::Duration;
 
@@ -12,16 +12,16 @@
 
 use super::CallError;
 
-/// How long an answer is waited for before the read is sent again, by which a silent store is noticed.
+/// Delay without an answer after which a read is sent again. The same delay detects an unresponsive store.
 pub const HEDGE_AFTER: Duration = Duration::from_millis(600);
-/// How long any answer is waited for in all.
+/// Overall timeout of a hedged read.
 pub const ANSWER_MAX: Duration = Duration::from_secs(5);
 
-/// Makes a call, and once more after each `gap` without an answer, of which `on_silence` is told; the
-/// first answer counts.
+/// Makes a call, and repeats it after each `gap` without an answer, with a call of `on_silence` each time. Returns the
+/// first answer. A call that fails without an answer is ignored while others are pending.
 ///
 /// # Errors
-/// The first answer's error; [`CallError::Unknown`] where there is none.
+/// The error that the first answer reports; [`CallError::Unknown`] or [`CallError::Unreachable`] if there is none.
 pub async fn hedged<'a, T>(
     gap: Duration,
     on_silence: impl Fn(),
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,13 +1,13 @@
-//! A store of the platform: partitioned logs of records, and the newest record of each key.
+//! The interface of the platform's store: partitioned logs of records, and the newest record of each key.
 //!
-//! A call that got no answer may have been done, or may still be done. Whoever needs to know reads
-//! back. Only reads are sent twice, by [`hedge`].
+//! A call without an answer may have taken effect, or may still do so. A caller that needs to know reads back. Only
+//! reads are repeated, by [`hedge`].
 
 pub mod hedge;
 mod place;
 mod timeout;
 
-pub use place::{BadEra, Era, Eras, Place, Told};
+pub use place::{BadEra, Era, EraTracker, Place, ReportedEra};
 pub use timeout::Timeout;
 
 use std::time::Duration;
@@ -16,58 +16,58 @@
 use futures::future::BoxFuture;
 use snafu::Snafu;
 
-/// Longest key of a record, in bytes: the store keeps a key's length in one byte.
+/// Maximum length of a record's key, in bytes: the store encodes it in one byte.
 pub const KEY_MAX: usize = 255;
 
-/// Why a call did not do what it should.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// Too many calls; nothing was done.
+    /// The store limits the rate of calls; the call had no effect.
     #[snafu(display("too many calls"))]
     Limited,
-    /// The store is not available; nothing was done.
+    /// The store is unavailable; the call had no effect.
     #[snafu(display("unavailable"))]
     Unavailable,
-    /// No connection came up; nothing was done.
+    /// No connection could be opened; nothing was sent.
     #[snafu(display("no connection"))]
     Unreachable,
-    /// No answer; it may have been done, or may be done later.
+    /// There is no usable answer; the call may have taken effect, or may do so later.
     #[snafu(display("no answer"))]
     Unknown,
-    /// Records from the wanted offset on are gone.
+    /// Records at the requested offset have been deleted.
     #[snafu(display("records before {first} are gone"))]
     Gone {
-        /// The first offset that is kept.
+        /// The first offset that the store still has.
         first: u64,
     },
-    /// The partition does not end where it was expected to; nothing was done.
+    /// The partition does not end at the expected offset; nothing was appended.
     #[snafu(display("the partition ends at {end}"))]
     Moved {
-        /// Where it ends.
+        /// The offset at which it ends.
         end: u64,
     },
-    /// The store has come back from a copy since the place that the call names; an append may have been done.
-    #[snafu(display("the store came back from a copy, in era {era}"))]
+    /// The store has been restored from a copy since the era of the call's place; an append may have taken effect.
+    #[snafu(display("the store was restored from a copy, in era {era}"))]
     Restored {
-        /// Its era now.
+        /// The store's present era.
         era: Era,
     },
     /// A record's key is longer than [`KEY_MAX`]; nothing was sent.
-    #[snafu(display("a key of {length} bytes"))]
+    #[snafu(display("the key's length of {length} bytes is above the maximum"))]
     KeyTooLong {
-        /// Its length in bytes.
+        /// The key's length in bytes.
         length: usize,
     },
-    /// An answer that is not one of the store's, by its status or its body; it may have been done.
+    /// The answer's status or body is none that the store gives; the call may have taken effect.
     #[snafu(display("answered {status}"))]
     Refused {
-        /// Its status.
+        /// The answer's status.
         status: u16,
     },
 }
 
 impl CallError {
-    /// Whether the call may have been done all the same.
+    /// Whether the call may have taken effect despite the error.
     pub fn may_be_done(&self) -> bool {
         matches!(
             self,
@@ -75,12 +75,12 @@
         )
     }
 
-    /// Whether the store has answered that what the call rested on is out of date.
+    /// Whether the store has answered that the place the call was based on is outdated.
     pub fn is_outdated(&self) -> bool {
         matches!(self, Self::Moved { .. }) || self.loses_place()
     }
 
-    /// Whether what was read before is to be read anew, from the newest records on.
+    /// Whether reading cannot continue from the present place, so that the newest records must be read again.
     pub fn loses_place(&self) -> bool {
         matches!(self, Self::Gone { .. } | Self::Restored { .. })
     }
@@ -98,40 +98,39 @@
 /// The topics that routers use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Topic {
-    /// The operators' configuration.
+    /// The operators' configuration and evacuations of halls.
     Config,
-    /// The targets, as they list themselves.
+    /// The targets' own entries.
     Targets,
-    /// The routers, as they list themselves.
+    /// The routers' own entries.
     Routers,
-    /// What was prepaid and what is granted, by customer.
+    /// Prepaid budgets and grants, by customer.
     Prepaid,
 }
 
-/// A record of a key.
+/// A record of a keyed topic.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
     /// The key.
     pub key: String,
-    /// The value; `None` drops the key.
+    /// The value; `None` deletes the key.
     pub value: Option<Bytes>,
 }
 
-/// Records of a partition.
+/// A page of records of a partition.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Page {
     /// The records, in order.
     pub records: Vec<Record>,
-    /// The place after the last record of the partition at the time of the answer.
+    /// The end of the partition at the time of the answer.
     pub end: Place,
     /// The place after the last record of this page.
     pub next: Place,
 }
 
-/// The store. An answer is waited for `limit`, beside what the store is asked to wait.
+/// The store. `limit` is the timeout of each request to it, not counting the time that the store is asked to wait.
 pub trait Store: Send + Sync {
-    /// Appends records, all or none; with `at`, only if the partition ends there. The new end is
-    /// returned.
+    /// Appends all records or none; with `at`, only if the partition ends there. Returns the new end.
     fn append<'a>(
         &'a self,
         partition: Partition,
@@ -140,7 +139,7 @@
         limit: Duration,
     ) -> BoxFuture<'a, Result<Place, CallError>>;
 
-    /// Reads from a place on, and waits up to `wait` for the first record.
+    /// Reads records from a place on. The store waits up to `wait` for the first record.
     fn read(
         &self,
         partition: Partition,
@@ -149,14 +148,14 @@
         limit: Duration,
     ) -> BoxFuture<'_, Result<Page, CallError>>;
 
-    /// The newest record of each key. Read on from `next`: the answer comes in several parts, which
-    /// need not be of one moment.
+    /// Reads the newest record of each key. The records may be read in several parts that are not one consistent
+    /// snapshot; reading on from `next` returns all changes made meanwhile.
     fn newest(
         &self,
         partition: Partition,
         limit: Duration,
     ) -> BoxFuture<'_, Result<Page, CallError>>;
 
-    /// The newest era that any answer has named.
+    /// The newest era that any answer of the store has named.
     fn era(&self) -> Era;
 }
--- a/src/store/place.rs
+++ b/src/store/place.rs
@@ -1,8 +1,8 @@
-//! Places in the store's log, over all its histories.
+//! Positions in the store's log that stay unique when the store is restored from a copy.
 //!
-//! The store may come back from a copy of itself that is some seconds old: what was written since is gone, and offsets
-//! are given out again. Each time it begins a new era, which it names in its answers. An offset alone therefore names
-//! no record; a place does.
+//! The store may be restored from a copy of itself that is some seconds old: what was written since is lost, and
+//! offsets are assigned again. Each restore begins a new era, which the store names in its answers. An offset alone
+//! therefore does not identify a record; a place, which has the era too, does.
 
 use std::fmt;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
 
-/// One history of the store; higher after each return from a copy. Zero for a store that names none.
+/// Number of one history of the store, which grows with each restore from a copy. Zero for a store that names no era.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -22,14 +22,14 @@
     }
 }
 
-/// A place in a partition's log. Of two places that of the higher era is later, whatever their offsets.
+/// A position in a partition's log. Of two places the one of the higher era is later, whatever their offsets.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Place {
-    /// The history.
+    /// The era.
     pub era: Era,
-    /// Records of the partition before it in that history.
+    /// Number of records of the partition before this place in that era.
     pub offset: u64,
 }
 
@@ -39,54 +39,54 @@
     }
 }
 
-/// Why an answer of the store is not believed.
+/// Why the era of an answer is not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum BadEra {
-    /// The store names eras, and this answer does not.
+    /// The store has named an era before, and this answer names none.
     #[snafu(display("the answer names no era"))]
     Missing,
-    /// What it names is no number.
+    /// The answer's era is not a number.
     #[snafu(display("the answer's era cannot be read"))]
     Unreadable,
-    /// It was given before the store came back from a copy.
+    /// The answer was given before the store was restored from a copy.
     #[snafu(display("the answer is of era {era}, which has ended"))]
     Past {
-        /// The era that it names.
+        /// The era that the answer names.
         era: Era,
     },
 }
 
-/// What an answer says of its era.
+/// The era that an answer names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
-    /// Nothing.
-    Nothing,
-    /// Something that is no number.
+pub enum ReportedEra {
+    /// The answer names no era.
+    Missing,
+    /// The value is not a number.
     Unreadable,
-    /// This one.
+    /// The era.
     Era(Era),
 }
 
-/// The newest era that any answer has named.
+/// Tracks the newest era that any answer has named.
 #[derive(Debug, Default)]
-pub struct Eras(AtomicU64);
+pub struct EraTracker(AtomicU64);
 
-impl Eras {
+impl EraTracker {
     /// The newest era.
     pub fn newest(&self) -> Era {
         Era(self.0.load(Ordering::SeqCst))
     }
 
-    /// Decides which era an answer belongs to. One without any is believed until the store has named one.
+    /// Checks and records the era of an answer. An answer without an era is accepted until the store has named one.
     ///
     /// # Errors
-    /// Why the answer is not to be believed.
-    pub fn note(&self, told: Told) -> Result<Era, BadEra> {
-        let era = match told {
-            Told::Era(era) => era,
-            Told::Nothing if self.newest() == Era::default() => return Ok(Era::default()),
-            Told::Nothing => return Err(BadEra::Missing),
-            Told::Unreadable => return Err(BadEra::Unreadable),
+    /// Why the era is not accepted.
+    pub fn observe(&self, reported: ReportedEra) -> Result<Era, BadEra> {
+        let era = match reported {
+            ReportedEra::Era(era) => era,
+            ReportedEra::Missing if self.newest() == Era::default() => return Ok(Era::default()),
+            ReportedEra::Missing => return Err(BadEra::Missing),
+            ReportedEra::Unreadable => return Err(BadEra::Unreadable),
         };
         let before = Era(self.0.fetch_max(era.0, Ordering::SeqCst));
         if era < before {
