--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,22 +1,22 @@
-//! Accepting connections, through errors that pass.
+//! Accepts connections, and retries after transient errors.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use tokio::net::{TcpListener, TcpStream};
 
-/// Pause after a connection could not be accepted, so that a lack of sockets does not spin.
-const PAUSE: Duration = Duration::from_millis(10);
+/// Delay before accepting is retried after an error, so that a lack of file descriptors does not cause a busy loop.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The next connection and its other side. Errors are logged and tried again: a listener that is dropped at a
-/// moment's lack of descriptors refuses all that come later.
+/// Accepts the next connection and returns it with the peer's address. Errors are logged and retried: if the listener
+/// were dropped at a momentary lack of file descriptors, all later connections would be refused.
 pub async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
             Ok(accepted) => return accepted,
             Err(error) => {
                 tracing::warn!(event = "accept_failed", %error);
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
--- a/src/net/connection.rs
+++ b/src/net/connection.rs
@@ -1,5 +1,5 @@
-//! One connection: it carries one request at a time, and is closed when it is dropped before the
-//! answer has been read to its end.
+//! A client connection. It carries one request at a time, and is closed when it is dropped before the response has
+//! been read to its end.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,36 +14,36 @@
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-use super::half_open::{HalfOpen, Writing};
+use super::half_open::{HalfOpen, WriteState};
 use crate::boot_clock;
 use crate::units::Millis;
 
-/// A request with its whole body.
+/// A request with its complete body.
 pub type Request = http::Request<Full<Bytes>>;
-/// An answer whose body is still to come.
+/// A response whose body has not been read yet.
 pub type Response = http::Response<Incoming>;
 
-/// Most headers of an answer.
+/// Maximum number of headers of a response.
 const HEADERS_MAX: usize = 64;
-/// Longest buffer of bytes that were read and not yet passed on, in bytes.
+/// Maximum size of the read buffer, in bytes.
 const BUFFER_MAX: usize = 64 << 10;
 
-/// A request without an answer.
+/// A request that got no response.
 #[derive(Debug, Snafu)]
 #[snafu(display("{source}"))]
 pub struct SendError {
-    /// Whether nothing of it has been written.
+    /// Whether no part of the request has been written.
     pub was_not_sent: bool,
     source: hyper::Error,
 }
 
-/// An open connection, closed when dropped.
+/// An open connection. It is closed when dropped.
 #[derive(Debug)]
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     task: AbortHandle,
-    writing: Writing,
-    /// When the other side may close it, while it is idle.
+    write_state: WriteState,
+    /// When the peer may close the connection, while it is idle.
     idle_until: Option<Millis>,
 }
 
@@ -53,23 +53,23 @@
     }
 }
 
-/// Connects, within a time. Data that is not acknowledged for `silence` fails the connection.
+/// Opens a connection within `limit`. It fails once sent data has not been acknowledged for `acknowledge_timeout`.
 ///
 /// # Errors
-/// The system's error; `TimedOut` where the time is over.
+/// The system's error; `TimedOut` if the connection was not opened in time.
 pub async fn open(
     address: SocketAddr,
     limit: Duration,
-    silence: Duration,
+    acknowledge_timeout: Duration,
 ) -> io::Result<Connection> {
     let connect = TcpStream::connect(address);
     let stream = tokio::time::timeout(limit, connect)
         .await
         .map_err(|_| io::Error::from(io::ErrorKind::TimedOut))??;
     stream.set_nodelay(true)?;
-    socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(silence))?;
+    socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(acknowledge_timeout))?;
     let stream = HalfOpen::new(stream);
-    let writing = stream.writing();
+    let write_state = stream.write_state();
     let (sender, connection) = http1::Builder::new()
         .max_headers(HEADERS_MAX)
         .max_buf_size(BUFFER_MAX)
@@ -78,25 +78,25 @@
         .map_err(io::Error::other)?;
     let task = tokio::spawn(async move {
         if let Err(error) = connection.await {
-            // Whoever waits for an answer on it sees an error of its own.
+            // A request that waits for its response on the connection fails with an error of its own.
             tracing::debug!(event = "connection_ended", %error);
         }
     });
     Ok(Connection {
         sender,
         task: task.abort_handle(),
-        writing,
+        write_state,
         idle_until: None,
     })
 }
 
 impl Connection {
-    /// Sends a request. The next may be sent once the answer's body has been read to its end.
+    /// Sends a request. The next may be sent once the response's body has been read to its end.
     ///
     /// # Errors
-    /// The connection's error, and whether the request may have arrived.
+    /// The connection's error, and whether the request was not sent at all.
     pub async fn send(&mut self, request: Request) -> Result<Response, SendError> {
-        self.writing.begin();
+        self.write_state.begin_request();
         self.sender
             .try_send_request(request)
             .await
@@ -106,14 +106,14 @@
             })
     }
 
-    /// Whether it can take a request now.
+    /// Whether a request can be sent on the connection now.
     pub fn is_usable(&self, now: Millis) -> bool {
-        let is_open = self.sender.is_ready() && !self.writing.is_broken();
+        let is_open = self.sender.is_ready() && !self.write_state.is_broken();
         is_open && self.idle_until.is_none_or(|until| now < until)
     }
 
-    /// Notes that it is idle from now on, and for how long it may be used again. The other side's clock runs on
-    /// while this host sleeps.
+    /// Marks the connection as idle from now on, and reusable for `idle`. The time that this host is suspended counts,
+    /// since the peer's timeout goes on meanwhile.
     pub fn set_idle(&mut self, idle: Duration) {
         self.idle_until = Some(boot_clock::now() + Millis(idle.as_millis() as u64));
     }
--- a/src/net/half_open.rs
+++ b/src/net/half_open.rs
@@ -1,10 +1,11 @@
-//! A connection to a target on which an answer can still be read after writing has failed.
+//! A connection to a target on which the response can still be read after a write has failed.
 //!
-//! A target may answer a long request from its head and close. The HTTP library ends a connection at the first error
-//! of a write, with the answer that has arrived unread: a refusal with a promise, or a whole answer, would be passed
-//! on as a failure that may have run. So once a part of a request has been written, the rest of it is dropped in
-//! silence, and reading tells the answer or the error. The system tells a reset once, so what a write was told is
-//! told again by the read at the end: an answer without a length is not whole after it.
+//! A target may respond to a long request after its head and close the connection. The HTTP library ends a connection
+//! at the first write error and leaves the received response unread: a refusal that promises that the request was not
+//! run, or a complete response, would be handled as the failure of a request that may have run. Therefore, once a part
+//! of a request has been written, write errors are suppressed and the rest of the request is discarded; reading yields
+//! the response or the error. The system reports a reset only once, so the error of the write is reported again by the
+//! read at the end of the stream: a response without a length is not complete after a reset.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -15,30 +16,30 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// A stream whose failed writes are told by its reads.
+/// A stream that reports errors of writes at its reads.
 #[derive(Debug)]
 pub(super) struct HalfOpen {
     stream: TcpStream,
-    writing: Writing,
-    /// What the first failed write was told.
+    write_state: WriteState,
+    /// The error of the first failed write.
     error: Option<io::ErrorKind>,
 }
 
-/// What has been written on a connection, shared with who sends on it.
+/// State of the writes on a connection, shared with the sender of requests.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Writing(Arc<Written>);
+pub(super) struct WriteState(Arc<WriteFlags>);
 
 #[derive(Debug, Default)]
-struct Written {
-    /// Whether something of the present request has been written.
+struct WriteFlags {
+    /// Whether a part of the current request has been written.
     has_begun: AtomicBool,
-    /// Whether a write has failed: nothing more is sent.
+    /// Whether a write has failed, after which nothing more is sent.
     is_broken: AtomicBool,
 }
 
-impl Writing {
-    /// Notes that the next request begins.
-    pub(super) fn begin(&self) {
+impl WriteState {
+    /// Resets the state for the next request.
+    pub(super) fn begin_request(&self) {
         self.0.has_begun.store(false, Ordering::Relaxed);
     }
 
@@ -52,20 +53,20 @@
     pub(super) fn new(stream: TcpStream) -> Self {
         Self {
             stream,
-            writing: Writing::default(),
+            write_state: WriteState::default(),
             error: None,
         }
     }
 
-    /// What has been written on it.
-    pub(super) fn writing(&self) -> Writing {
-        self.writing.clone()
+    /// The state of the writes.
+    pub(super) fn write_state(&self) -> WriteState {
+        self.write_state.clone()
     }
 
-    /// The result of writing `len` bytes, as the library is told it. An error before anything of a
-    /// request has been written stays one, so that the request fails at once.
-    fn judge(&mut self, written: io::Result<usize>, len: usize) -> io::Result<usize> {
-        let state = &self.writing.0;
+    /// The result that the HTTP library gets for a write of `len` bytes. An error before any part of a request has been
+    /// written is returned, so that the request fails at once; later errors are suppressed.
+    fn suppress_error(&mut self, written: io::Result<usize>, len: usize) -> io::Result<usize> {
+        let state = &self.write_state.0;
         match written {
             Err(error) if state.has_begun.load(Ordering::Relaxed) => {
                 tracing::debug!(event = "target_write_failed", %error);
@@ -92,7 +93,7 @@
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
         let is_end = buffer.filled().len() == before;
         match self.error {
-            // A broken pipe is no reset: the other side had ended its answer in order before.
+            // A broken pipe is not a reset: the peer had ended its response in order before.
             Some(error) if is_end && error != io::ErrorKind::BrokenPipe => {
                 Poll::Ready(Err(error.into()))
             }
@@ -111,7 +112,7 @@
             return Poll::Ready(Ok(bytes.len()));
         }
         let written = ready!(Pin::new(&mut self.stream).poll_write(context, bytes));
-        Poll::Ready(self.judge(written, bytes.len()))
+        Poll::Ready(self.suppress_error(written, bytes.len()))
     }
 
     fn poll_write_vectored(
@@ -124,7 +125,7 @@
             return Poll::Ready(Ok(len));
         }
         let written = ready!(Pin::new(&mut self.stream).poll_write_vectored(context, slices));
-        Poll::Ready(self.judge(written, len))
+        Poll::Ready(self.suppress_error(written, len))
     }
 
     fn is_write_vectored(&self) -> bool {
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 connections: to targets and to the platform's store, one request at a time on each, and from
-//! callers, on a server that ends without cutting anything off.
+//! HTTP/1.1 connections: client connections to targets and to the platform's store, with one request at a time on each,
+//! and a server for callers that shuts down gracefully.
 
 mod accept;
 mod connection;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,10 +1,9 @@
-//! Serves HTTP/1.1 on listeners until it is shut down, and then ends with what it has begun to read.
+//! Serves HTTP/1.1 on listeners until it is shut down; requests that it has begun to read by then are completed.
 //!
-//! What decides that a server is done is not a count of requests but its connections: a request that is
-//! read while a shutdown begins holds its connection open, so there is no moment between the last look and
-//! the end in which one can come in unseen. Of what a caller sends ahead of an answer, only the request that is
-//! being answered is kept, as HTTP/1.1 allows. The server owns the accept loops and the connections; what is
-//! answered is the business of the connections' services.
+//! A server has ended once all its connections have, not once a count of requests is zero: a request that is being read
+//! when a shutdown begins keeps its connection open, so no request can arrive unnoticed between a last check of a count
+//! and the end. Of pipelined requests only the one that is being answered is completed, as HTTP/1.1 allows. The server
+//! owns the accept loops and the connections; the connections' services produce the responses.
 
 use std::error::Error;
 use std::time::Duration;
@@ -21,36 +20,36 @@
 use super::accept::accept;
 use super::socket::{Reading, Socket};
 
-/// Time in which the runtime is sure to look at its sockets: a timer goes off after the sockets have been looked
-/// at. The shortest that the runtime's timers have. To yield is no such turn where the runtime has
-/// workers and this thread only waits for them.
-const TURN: Duration = Duration::from_millis(1);
+/// Delay after which the runtime has polled its sockets: a timer fires only after a poll of them. It is the shortest
+/// delay of the runtime's timers. Yielding is no substitute: it guarantees no poll if the runtime has worker threads
+/// and this thread only waits for them.
+const SOCKET_POLL_DELAY: Duration = Duration::from_millis(1);
 
-/// Age up to which a connection is not closed although it carries no request: its first one may be on the
-/// way, and would meet a closed connection. Many times the way from a caller.
-const FIRST_REQUEST_MAX: Duration = Duration::from_millis(100);
+/// Age up to which a shutdown leaves a connection open without a request: its first request may be on the way, and
+/// would reach a closed connection. Many times the latency of the network from a caller.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Longest time in which the rest of a head is waited for on a kept connection, which the HTTP library would
-/// close over the part that it has read. A head is mostly sent at once, and a stop is still
-/// short with a caller that never sends the rest.
-const HEAD_REST_MAX: Duration = Duration::from_millis(500);
+/// How long a shutdown waits for the rest of a partly received head on a kept-alive connection, which the HTTP library
+/// would close despite the part that it has read. A head is mostly sent at once, and the shutdown remains short with a
+/// caller that never sends the rest.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// A connection that has been accepted, with the service that answers on it.
+/// An accepted connection with the service that responds on it.
 pub type Accepted<S> = http1::Connection<TokioIo<Socket>, S>;
 
-/// Accept loops and open connections. Connections are only added by accept loops, so these end first.
+/// The accept loops and the open connections. Only accept loops add connections, so they are ended first.
 #[derive(Clone, Debug, Default)]
 pub struct Server {
     /// Cancelled to end the accept loops.
-    refusing: CancellationToken,
-    /// Cancelled to end the connections.
-    closing: CancellationToken,
-    accepting: TaskTracker,
+    stop_accepting: CancellationToken,
+    /// Cancelled to shut the connections down.
+    stop_serving: CancellationToken,
+    accept_loops: TaskTracker,
     connections: TaskTracker,
 }
 
 impl Server {
-    /// Accepts connections on a listener until the server closes; `open` gives each its service.
+    /// Accepts connections on a listener until the server closes. `open` combines each with its service.
     pub fn listen<S, F>(&self, listener: TcpListener, open: F)
     where
         F: Fn(Socket) -> Accepted<S> + Send + 'static,
@@ -61,69 +60,81 @@
         <S::ResBody as Body>::Data: Send,
         <S::ResBody as Body>::Error: Into<Box<dyn Error + Send + Sync>>,
     {
-        let (refusing, closing) = (self.refusing.clone(), self.closing.clone());
+        let (stop_accepting, stop_serving) =
+            (self.stop_accepting.clone(), self.stop_serving.clone());
         let connections = self.connections.clone();
-        self.accepting.spawn(async move {
-            while let Some(socket) = next(&listener, &refusing).await {
+        self.accept_loops.spawn(async move {
+            while let Some(socket) = next_connection(&listener, &stop_accepting).await {
                 let reading = socket.reading();
-                connections.spawn(drive(open(socket), reading, closing.clone()));
+                connections.spawn(serve_connection(
+                    open(socket),
+                    reading,
+                    stop_serving.clone(),
+                ));
             }
         });
     }
 
-    /// Open connections.
+    /// The number of open connections.
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Takes no further connection and no further request, and waits for no answer. Connections that carry
-    /// none are closed, new ones after the time for their first, those with a part of one after the time for
-    /// the rest, the others once their answer is written.
+    /// Stops accepting connections and further requests, without waiting for responses. Connections without a request
+    /// are closed, new ones only after the time allowed for a first request, and those with a part of a request after
+    /// the time allowed for the rest; the others are closed once their response is written.
     ///
-    /// The runtime knows of what has arrived at a socket after it has looked, so there is a turn of it before
-    /// each step: without them a close passes over requests that have arrived.
+    /// The runtime learns of data that has arrived at a socket only when it polls the sockets, so each step is preceded
+    /// by a delay in which it does. Without the delays a close would miss requests that have arrived.
     pub async fn close(&self) {
-        sleep(TURN).await;
-        self.refusing.cancel();
-        self.accepting.close();
-        self.accepting.wait().await;
-        sleep(TURN).await;
-        self.closing.cancel();
+        sleep(SOCKET_POLL_DELAY).await;
+        self.stop_accepting.cancel();
+        self.accept_loops.close();
+        self.accept_loops.wait().await;
+        sleep(SOCKET_POLL_DELAY).await;
+        self.stop_serving.cancel();
         self.connections.close();
     }
 
-    /// Waits until all connections of a server that was closed have ended.
+    /// Waits until all connections have ended, after [`close`](Self::close).
     pub async fn closed(&self) {
         self.connections.wait().await;
     }
 }
 
-/// The next connection; `None` once none is to be accepted, and all that came before has been, but for those that
-/// came while no connection could be accepted.
-async fn next(listener: &TcpListener, refusing: &CancellationToken) -> Option<Socket> {
+/// Accepts the next connection. Returns `None` once `stop_accepting` is cancelled and all connections that arrived
+/// before have been accepted, except those that arrived while accepting failed.
+async fn next_connection(
+    listener: &TcpListener,
+    stop_accepting: &CancellationToken,
+) -> Option<Socket> {
     tokio::select! {
         biased;
         (stream, _) = accept(listener) => Some(Socket::new(stream)),
-        () = refusing.cancelled() => None,
+        () = stop_accepting.cancelled() => None,
     }
 }
 
-async fn drive<S>(connection: Accepted<S>, reading: Reading, closing: CancellationToken)
-where
+/// Serves a connection until it ends, or until `stop_serving` is cancelled and the connection has shut down.
+async fn serve_connection<S>(
+    connection: Accepted<S>,
+    reading: Reading,
+    stop_serving: CancellationToken,
+) where
     S: HttpService<Incoming>,
     S::Error: Into<Box<dyn Error + Send + Sync>>,
     S::ResBody: Body + 'static,
     <S::ResBody as Body>::Error: Into<Box<dyn Error + Send + Sync>>,
 {
     let mut connection = std::pin::pin!(connection);
-    let accepted = Instant::now();
+    let accepted_at = Instant::now();
     let close = async {
-        closing.cancelled().await;
-        sleep_until(accepted + FIRST_REQUEST_MAX).await;
-        read(&reading).await;
+        stop_serving.cancelled().await;
+        sleep_until(accepted_at + FIRST_REQUEST_TIMEOUT).await;
+        finish_reading(&reading).await;
     };
     let ended = tokio::select! {
-        // The connection goes first: a request that has arrived is read, and keeps it open.
+        // The connection is polled first: a request that has arrived is read and keeps the connection open.
         biased;
         ended = connection.as_mut() => ended,
         () = close => {
@@ -136,12 +147,13 @@
     }
 }
 
-/// Waits for what of a connection's requests is still being read. A body may begin to be discarded while a head is
-/// waited for, and the next head may begin while a body is discarded, so each is looked at after the other.
-async fn read(reading: &Reading) {
+/// Waits until no part of a connection's requests is being read, within the time limits. Discarding of a body may begin
+/// during the wait for a head, and the next head may begin while a body is discarded, so each is checked again after
+/// the other.
+async fn finish_reading(reading: &Reading) {
     loop {
         reading.discarded().await;
-        if timeout(HEAD_REST_MAX, reading.answered()).await.is_err() {
+        if timeout(HEAD_TIMEOUT, reading.answered()).await.is_err() {
             tracing::debug!(event = "unanswered_at_close");
         }
         if !reading.is_discarding() {
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,9 +1,9 @@
-//! A caller's connection that knows what of its requests is still being read.
+//! A caller's connection that tracks which parts of its requests are still being read.
 //!
-//! The HTTP library counts a kept connection as idle until a whole head has come, so it would close one over
-//! a part of a head. What has been read and not followed by a write is such a part, or a request under way.
-//! Nor does the library wait for the rest of a refused body, if the connection's last answer has been written.
-//! The socket owns the stream and never decides when it ends; [`Server`](super::Server) does.
+//! The HTTP library treats a kept-alive connection as idle until a complete head has arrived, so its graceful shutdown
+//! would close a connection on which a part of a head has been read. Bytes read without a later write are such a part,
+//! or a request that is being answered. Nor does the library wait for the rest of a refused request's body once the
+//! last response has been written. The socket owns the stream; [`Server`](super::Server) decides when it is closed.
 
 use std::io::{self, IoSlice};
 use std::pin::Pin;
@@ -20,9 +20,9 @@
 
 use super::upload;
 
-/// Interval at which a closing server checks whether a connection has written. Short beside the
-/// way from a caller; only runs while a server closes.
-const POLL: Duration = Duration::from_millis(5);
+/// Interval at which a closing server checks whether a connection has written. It is short compared to the latency of
+/// the network from a caller. Polling only happens while a server closes.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// An accepted connection.
 #[derive(Debug)]
@@ -31,18 +31,18 @@
     reading: Reading,
 }
 
-/// What of a connection's requests is still being read, shared with what answers on it.
+/// Which parts of a connection's requests are still being read. Shared with the service that responds on it.
 #[derive(Clone, Debug, Default)]
 pub struct Reading {
-    /// Whether its last bytes were read and not written.
+    /// Whether the connection has read since it last wrote.
     unanswered: Arc<AtomicBool>,
-    /// Bodies of refused requests that are being discarded.
+    /// Tasks that discard the bodies of refused requests.
     discards: TaskTracker,
 }
 
 impl Reading {
-    /// Discards what is still to come of a refused request's body, at most `max` bytes, while the caller gets
-    /// the refusal.
+    /// Reads and discards the rest of a refused request's body, at most `max` bytes, while the caller is sent the
+    /// refusal.
     pub fn discard(&self, body: Incoming, max: usize) {
         if let Some(discard) = upload::discard(body, max) {
             self.discards.spawn(discard);
@@ -52,7 +52,7 @@
     /// Waits until the connection has written since it last read.
     pub(super) async fn answered(&self) {
         while self.unanswered.load(Ordering::Relaxed) {
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -69,7 +69,7 @@
 }
 
 impl Socket {
-    /// A socket that sends what is written at once.
+    /// Wraps an accepted stream, and disables Nagle's algorithm on it.
     pub(super) fn new(stream: TcpStream) -> Self {
         if let Err(error) = stream.set_nodelay(true) {
             // The connection still works, only slower.
@@ -79,15 +79,15 @@
         Self { stream, reading }
     }
 
-    /// What of its requests is still being read.
+    /// Which parts of the requests are still being read.
     pub fn reading(&self) -> Reading {
         self.reading.clone()
     }
 
-    /// The other side's address.
+    /// The peer's address.
     ///
     /// # Errors
-    /// The system's, where the other side has left already.
+    /// The system's error if the peer has already disconnected.
     pub fn peer_addr(&self) -> io::Result<std::net::SocketAddr> {
         self.stream.peer_addr()
     }
--- a/src/net/upload.rs
+++ b/src/net/upload.rs
@@ -1,4 +1,4 @@
-//! What is left of the body of a request that is refused before it is whole.
+//! Discards the rest of the body of a request that is refused before it has been read.
 
 use std::time::Duration;
 
@@ -6,12 +6,13 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::timeout;
 
-/// Longest time in which it is. A caller that sends takes far less.
-const DISCARD_TIME: Duration = Duration::from_secs(2);
+/// Timeout of discarding a body. A caller that is sending takes far less.
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Reads what is still to come of a refused request's body, if it is at most `max` bytes: as much as the body of
-/// a request that is let in. A connection that is closed with bytes unread is reset, which can overtake the
-/// answer; that of a longer body is.
+/// Returns a task that reads the rest of a refused request's body, up to `max` bytes, which is the limit for the body
+/// of an accepted request. A connection that is closed with unread data is reset, and the reset can overtake the
+/// response; this still happens with longer bodies. Returns `None` if there is nothing to read or the body is known to
+/// be longer.
 pub(super) fn discard(
     body: Incoming,
     max: usize,
@@ -21,10 +22,10 @@
     }
     Some(async move {
         let mut body = Limited::new(body, max);
-        // The library tells the end of a body that is whole only with the next head.
+        // The library reports the end of a completely received body only once the next head arrives.
         let read =
             async { while !body.is_end_stream() && matches!(body.frame().await, Some(Ok(_))) {} };
-        if timeout(DISCARD_TIME, read).await.is_err() {
+        if timeout(DISCARD_TIMEOUT, read).await.is_err() {
             tracing::debug!(event = "body_not_discarded");
         }
     })
