--- a/src/wire/client.rs
+++ b/src/wire/client.rs
@@ -1,4 +1,4 @@
-//! The asking side: one connection a peer, made again when it has gone.
+//! The client side: one connection per peer, which is reopened after it has closed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -14,59 +14,62 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-use super::frame::{WAIT, WINDOW, collect};
+use super::frame::{CALL_TIMEOUT, WINDOW, collect};
 use crate::util;
 
-/// Why a peer gave no answer. Unless it says so, the question may have been taken.
+/// Why a call got no reply. Unless the variant excludes it, the peer may have processed the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum Missing {
-    /// Nothing listens there; the question has not been taken.
+    /// No connection could be opened, as when nothing listens at the address; the request was not sent.
     #[snafu(display("refused"))]
     Refused,
-    /// The time was over.
+    /// The call timed out.
     #[snafu(display("silent"))]
     Silent,
-    /// The connection failed, or the answer made no sense.
+    /// The connection failed, or the peer gave an error status or a malformed reply.
     #[snafu(display("failed"))]
     Failed,
 }
 
 type Slot = Arc<tokio::sync::Mutex<Option<SendRequest<Bytes>>>>;
 
-/// Connections to peers.
+/// A client with its connections to peers.
 #[derive(Clone, Debug)]
 pub struct Client {
     key: String,
-    wait: Duration,
+    timeout: Duration,
     slots: Arc<Mutex<HashMap<SocketAddr, Slot>>>,
 }
 
 impl Client {
-    /// A client that shows the fleet's key.
+    /// Creates a client that authenticates with the fleet's key.
     pub fn new(key: &str) -> Self {
         Self {
             key: key.to_owned(),
-            wait: WAIT,
+            timeout: CALL_TIMEOUT,
             slots: Arc::default(),
         }
     }
 
-    /// The same with another longest wait.
+    /// Sets another timeout of calls.
     pub fn with_wait(self, wait: Duration) -> Self {
-        Self { wait, ..self }
+        Self {
+            timeout: wait,
+            ..self
+        }
     }
 
-    /// Asks a peer. A question may have been taken although there is no answer, so those that must
-    /// count once carry a sequence number.
+    /// Sends a request to a peer and returns its reply. The peer may have processed a request although the call fails,
+    /// so requests that must take effect only once carry a sequence number.
     ///
     /// # Errors
-    /// Why there is no answer.
+    /// Why there is no reply.
     pub async fn ask<Q, R>(&self, to: SocketAddr, request: &Q) -> Result<R, Missing>
     where
         Q: Serialize,
         R: DeserializeOwned,
     {
-        match timeout(self.wait, self.exchange(to, request)).await {
+        match timeout(self.timeout, self.exchange(to, request)).await {
             Ok(Ok(Some(reply))) => Ok(reply),
             Ok(Ok(None)) => Err(Missing::Failed),
             Ok(Err(error)) => {
@@ -79,8 +82,8 @@
                 })
             }
             Err(_) => {
-                // A peer that is frozen keeps its connection; the next call tries a new one.
-                self.forget(to).await;
+                // The connection to a frozen peer stays open, so it is dropped: the next call opens a new one.
+                self.drop_connection(to).await;
                 Err(Missing::Silent)
             }
         }
@@ -94,9 +97,9 @@
         let frame = Bytes::from(util::encode(request));
         let response = loop {
             match self.send(to, frame.clone()).await {
-                // The peer closes this connection, and has not taken the question: the next is a new
-                // connection, or a refusal.
-                Err(error) if is_untaken(&error) => {
+                // The peer is closing this connection and has not processed the request. The next attempt opens a new
+                // connection, or is refused.
+                Err(error) if is_unprocessed(&error) => {
                     tracing::debug!(event = "peer_connection_closed", %to, %error);
                 }
                 result => break result?,
@@ -117,11 +120,11 @@
         let head = http::Request::post(format!("http://{to}/"))
             .header(http::header::AUTHORIZATION, &self.key)
             .body(())
-            .expect("a peer's address and the checked key make a request");
+            .expect("a socket address and the validated key form a valid request");
         let mut sender = self.sender(to).await?.ready().await?;
         let (response, mut send) = sender.send_request(head, false)?;
         let sent = send.send_data(frame, true);
-        // Where the question could not be sent, this says why.
+        // If the request could not be sent, the error of the response has the cause.
         let response = response.await?;
         sent?;
         Ok(response)
@@ -132,7 +135,7 @@
         Arc::clone(slots.entry(to).or_default())
     }
 
-    async fn forget(&self, to: SocketAddr) {
+    async fn drop_connection(&self, to: SocketAddr) {
         *self.slot(to).lock().await = None;
     }
 
@@ -154,7 +157,7 @@
             .await?;
         tokio::spawn(async move {
             if let Err(error) = connection.await {
-                // Calls under way fail with an error of their own.
+                // Pending calls fail with errors of their own.
                 tracing::debug!(event = "peer_connection_ended", %to, %error);
             }
         });
@@ -163,9 +166,10 @@
     }
 }
 
-/// Whether the peer closes the connection and says that it has not taken the question. Only questions that
-/// came after its last one end with this error; those that it has taken and left fail with the connection.
-fn is_untaken(error: &h2::Error) -> bool {
+/// Whether the error says that the peer is closing the connection and has not processed the request. Only requests
+/// after the last one that the peer accepted fail with this error; those that it accepted but did not answer fail with
+/// the error of the connection.
+fn is_unprocessed(error: &h2::Error) -> bool {
     error.is_go_away() && error.is_remote() && error.reason() == Some(h2::Reason::NO_ERROR)
 }
 
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other: h2 streams that carry one bincode frame each way.
+//! The protocol between routers: HTTP/2 requests and responses whose bodies are one bincode frame each.
 
 mod client;
 mod frame;
--- a/src/wire/server.rs
+++ b/src/wire/server.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! The server side.
 
 use std::future::Future;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use tokio_util::sync::CancellationToken;
 use tokio_util::task::TaskTracker;
 
-use super::frame::{WAIT, WINDOW, collect};
+use super::frame::{CALL_TIMEOUT, WINDOW, collect};
 use crate::{net, util};
 
-/// Longest time in which connections end once the server closes: an asker waits no longer for an answer.
-const CLOSE_MAX: Duration = WAIT;
+/// Time after which connections are closed forcibly once the server closes: clients wait no longer for a reply.
+const CLOSE_TIMEOUT: Duration = CALL_TIMEOUT;
 
-/// Serves peers until `closing`, and then until the questions that have come are answered and all
-/// connections have ended. A peer must show the fleet's key; `answer` gives the reply to each question, or
-/// `None` where this process is about to end.
+/// Serves peers until `closing` is cancelled, and then until all requests received by then are answered and all
+/// connections have ended. A peer must authenticate with the fleet's key. `answer` returns the reply to each request,
+/// or `None` if this process is about to end.
 pub async fn serve<Q, R, F, A>(
     listener: TcpListener,
     key_hash: String,
@@ -37,7 +37,7 @@
     let closing_connections = CancellationToken::new();
     loop {
         let (stream, peer) = tokio::select! {
-            // Connections that came before are accepted first.
+            // Connections that arrived before the cancellation are accepted first.
             biased;
             accepted = net::accept(&listener) => accepted,
             () = closing.cancelled() => break,
@@ -45,9 +45,9 @@
         let (answer, key_hash) = (answer.clone(), key_hash.clone());
         let closing = closing_connections.clone();
         connections.spawn(async move {
-            let late = async {
+            let timeout = async {
                 closing.cancelled().await;
-                tokio::time::sleep(CLOSE_MAX).await;
+                tokio::time::sleep(CLOSE_TIMEOUT).await;
             };
             tokio::select! {
                 biased;
@@ -56,11 +56,11 @@
                         tracing::debug!(event = "peer_connection_ended", %peer, %error);
                     }
                 }
-                () = late => tracing::warn!(event = "peer_connection_cut", %peer),
+                () = timeout => tracing::warn!(event = "peer_connection_cut", %peer),
             }
         });
     }
-    // Peers connect anew once their connection closes: by then they are refused.
+    // Peers reconnect once their connection closes; without a listener they are refused then.
     drop(listener);
     closing_connections.cancel();
     connections.close();
@@ -91,7 +91,7 @@
     let mut is_closing = false;
     loop {
         let accepted = tokio::select! {
-            // Questions that have come are taken first.
+            // Requests that have arrived are accepted before the shutdown begins.
             biased;
             accepted = connection.accept() => accepted,
             () = closing.cancelled(), if !is_closing => {
@@ -104,10 +104,10 @@
             return Ok(());
         };
         let (request, respond) = accepted?;
-        let known = is_known(&request, key_hash);
+        let authorized = is_authorized(&request, key_hash);
         let answer = answer.clone();
         tokio::spawn(async move {
-            let result = if known {
+            let result = if authorized {
                 exchange(request.into_body(), respond, answer).await
             } else {
                 refuse(respond)
@@ -119,7 +119,7 @@
     }
 }
 
-fn is_known<B>(request: &http::Request<B>, key_hash: &str) -> bool {
+fn is_authorized<B>(request: &http::Request<B>, key_hash: &str) -> bool {
     let key = request.headers().get(http::header::AUTHORIZATION);
     let key = key.and_then(|value| value.to_str().ok());
     key.is_some_and(|key| util::secret_matches(key, key_hash))
