--- a/src/gateway/control/context.rs
+++ b/src/gateway/control/context.rs
@@ -27,7 +27,7 @@
 use crate::gateway::targets::Outstanding;
 use crate::store::{Era, Store};
 use crate::units::{Millis, Tokens};
-use crate::wire::{self, Missing};
+use crate::wire::{self, NoReply};
 
 /// Age up to which another router's report of its outstanding requests is used: four heartbeat rounds.
 const PEER_LOAD_MAX_AGE: Millis = Millis(1_200);
@@ -123,7 +123,7 @@
     }
 
     /// Marks a router as unreachable after its link did not answer.
-    pub(super) fn set_unreachable(&self, router: &Router, missing: Missing) {
+    pub(super) fn set_unreachable(&self, router: &Router, missing: NoReply) {
         let mut state = self.state.borrow_mut();
         let is_new = state
             .members
--- a/src/gateway/control/loans.rs
+++ b/src/gateway/control/loans.rs
@@ -16,7 +16,7 @@
 use crate::gateway::members::Router;
 use crate::gateway::message::{Reply, Request};
 use crate::units::Tokens;
-use crate::wire::Missing;
+use crate::wire::NoReply;
 
 /// Maximum number of routers asked for a loan, one after the other: half of the holders.
 const LENDERS_MAX: usize = 4;
@@ -245,10 +245,10 @@
             customer: customer.clone(),
             tokens,
         };
-        let answer: Result<Reply, Missing> = control.peer_client.ask(to, &request).await;
+        let answer: Result<Reply, NoReply> = control.peer_client.ask(to, &request).await;
         let taken = matches!(answer, Ok(Reply::Taken));
         tracing::info!(event = "tokens_given", %customer, %to, tokens = tokens.0, taken);
-        if !matches!(answer, Ok(Reply::Declined) | Err(Missing::Refused)) {
+        if !matches!(answer, Ok(Reply::Declined) | Err(NoReply::Refused)) {
             return;
         }
     }
--- a/src/wire/client.rs
+++ b/src/wire/client.rs
@@ -19,13 +19,13 @@
 
 /// Why a call got no reply. Unless the variant excludes it, the peer may have processed the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
-pub enum Missing {
+pub enum NoReply {
     /// No connection could be opened, as when nothing listens at the address; the request was not sent.
     #[snafu(display("refused"))]
     Refused,
     /// The call timed out.
     #[snafu(display("silent"))]
-    Silent,
+    TimedOut,
     /// The connection failed, or the peer gave an error status or a malformed reply.
     #[snafu(display("failed"))]
     Failed,
@@ -64,27 +64,27 @@
     ///
     /// # Errors
     /// Why there is no reply.
-    pub async fn ask<Q, R>(&self, to: SocketAddr, request: &Q) -> Result<R, Missing>
+    pub async fn ask<Q, R>(&self, to: SocketAddr, request: &Q) -> Result<R, NoReply>
     where
         Q: Serialize,
         R: DeserializeOwned,
     {
         match timeout(self.timeout, self.exchange(to, request)).await {
             Ok(Ok(Some(reply))) => Ok(reply),
-            Ok(Ok(None)) => Err(Missing::Failed),
+            Ok(Ok(None)) => Err(NoReply::Failed),
             Ok(Err(error)) => {
                 tracing::debug!(event = "peer_call_failed", %to, %error);
                 let refused = error.reason() == Some(h2::Reason::CONNECT_ERROR);
                 Err(if refused {
-                    Missing::Refused
+                    NoReply::Refused
                 } else {
-                    Missing::Failed
+                    NoReply::Failed
                 })
             }
             Err(_) => {
                 // The connection to a frozen peer stays open, so it is dropped: the next call opens a new one.
                 self.drop_connection(to).await;
-                Err(Missing::Silent)
+                Err(NoReply::TimedOut)
             }
         }
     }
--- a/src/wire/mod.rs
+++ b/src/wire/mod.rs
@@ -4,5 +4,5 @@
 mod frame;
 mod server;
 
-pub use client::{Client, Missing};
+pub use client::{Client, NoReply};
 pub use server::serve;
--- a/tests/link_shortage.rs
+++ b/tests/link_shortage.rs
@@ -8,7 +8,7 @@
 use deployment::{Deployment, config, until};
 use lanedeck::gateway::message::{Reply, Request};
 use lanedeck::units::Tokens;
-use lanedeck::wire::{self, Missing};
+use lanedeck::wire::{self, NoReply};
 use tokio::net::TcpStream;
 
 const LARGE_BUDGET: u64 = 1_000_000;
@@ -46,7 +46,7 @@
         customer: deployment::CUSTOMER.to_owned(),
         tokens: Tokens(1),
     };
-    let mut last: Result<Reply, Missing> = Err(Missing::Silent);
+    let mut last: Result<Reply, NoReply> = Err(NoReply::TimedOut);
     for _ in 0..10 {
         last = wire::Client::new("lanedeck-fleet")
             .ask(gateway.link, &request)
--- a/tests/stop_answers.rs
+++ b/tests/stop_answers.rs
@@ -17,7 +17,7 @@
 use common::area::{Area, FLEET_KEY, chat, key, send};
 use http::Method;
 use lanedeck::router::message::{Reply, Request};
-use lanedeck::wire::{Client, Missing};
+use lanedeck::wire::{Client, NoReply};
 
 const CHAT: &str = "/v1/chat/completions";
 /// Longest wait for a process to end, far longer than it should take.
@@ -121,13 +121,13 @@
     );
 }
 
-async fn question(client: &Client, to: SocketAddr) -> Result<Reply, Missing> {
+async fn question(client: &Client, to: SocketAddr) -> Result<Reply, NoReply> {
     let question = Request::Heartbeat { peers: Vec::new() };
     client.ask(to, &question).await
 }
 
 /// Asks a router on until it has ended; why the last question had no answer.
-async fn question_to_the_end(client: Client, to: SocketAddr) -> Missing {
+async fn question_to_the_end(client: Client, to: SocketAddr) -> NoReply {
     loop {
         if let Err(missing) = question(&client, to).await {
             return missing;
@@ -150,7 +150,7 @@
     let missing = runtime.block_on(futures::future::join_all(askers));
     assert_eq!(area.routers[0].wait(END_MAX), Some(0));
     let missing: Vec<_> = missing.into_iter().map(Result::unwrap).collect();
-    assert_eq!(missing, vec![Missing::Refused; ASKERS]);
+    assert_eq!(missing, vec![NoReply::Refused; ASKERS]);
 }
 
 fn chat_head(body: &str) -> String {
--- a/tests/stop_gaps.rs
+++ b/tests/stop_gaps.rs
@@ -19,7 +19,7 @@
 use lanedeck::gateway::message::{Reply, Request};
 use lanedeck::net;
 use lanedeck::units::Tokens;
-use lanedeck::wire::{self, Missing};
+use lanedeck::wire::{self, NoReply};
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -317,7 +317,7 @@
         };
         match peers.ask::<Request, Reply>(link, &request).await {
             Ok(Reply::Taken | Reply::Declined) => {}
-            Err(Missing::Refused) => break,
+            Err(NoReply::Refused) => break,
             other => {
                 println!("{other:?}");
                 lost += 1;
