--- a/src/gateway/control/link.rs
+++ b/src/gateway/control/link.rs
@@ -26,7 +26,7 @@
 
 /// A client for requests to other routers.
 pub(super) fn client(key: &str) -> wire::Client {
-    wire::Client::new(key).with_wait(ANSWER_TIMEOUT)
+    wire::Client::new(key).with_timeout(ANSWER_TIMEOUT)
 }
 
 /// Passes other routers' requests to the control thread's loop until `shutdown`, and then until the requests already
--- a/src/wire/client.rs
+++ b/src/wire/client.rs
@@ -52,11 +52,8 @@
     }
 
     /// Sets another timeout of calls.
-    pub fn with_wait(self, wait: Duration) -> Self {
-        Self {
-            timeout: wait,
-            ..self
-        }
+    pub fn with_timeout(self, timeout: Duration) -> Self {
+        Self { timeout, ..self }
     }
 
     /// Sends a request to a peer and returns its reply. The peer may have processed a request although the call fails,
