--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -104,7 +104,7 @@
         .map(|config| config.limits)
         // Without a configuration, requests are refused; their heads are bounded all the same.
         .unwrap_or_default();
-    let connection = Arc::new(serve::Connection::new(socket.reading()));
+    let connection = Arc::new(serve::Connection::new(socket.read_state()));
     let service = service_fn(move |request| {
         let (shared, endpoint) = (Arc::clone(&shared), endpoint.clone());
         let connection = Arc::clone(&connection);
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -28,14 +28,14 @@
 
 /// A caller's connection.
 pub(super) struct Connection {
-    reading: net::Reading,
+    reading: net::ReadState,
     /// Whether it was logged that the caller sends headers that are the routers' to set.
     orders_told: AtomicBool,
 }
 
 impl Connection {
     /// A connection that was just accepted.
-    pub(super) fn new(reading: net::Reading) -> Self {
+    pub(super) fn new(reading: net::ReadState) -> Self {
         Self {
             reading,
             orders_told: AtomicBool::new(false),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -13,4 +13,4 @@
 pub use connection::{Connection, Request, Response, SendError, open};
 pub use pool::Pool;
 pub use server::{Accepted, Server};
-pub use socket::{Reading, Socket};
+pub use socket::{ReadState, Socket};
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -18,7 +18,7 @@
 use tokio_util::task::TaskTracker;
 
 use super::accept::accept;
-use super::socket::{Reading, Socket};
+use super::socket::{ReadState, Socket};
 
 /// Delay after which the runtime has polled its sockets: a timer fires only after a poll of them. It is the shortest
 /// delay of the runtime's timers. Yielding is no substitute: it guarantees no poll if the runtime has worker threads
@@ -65,10 +65,10 @@
         let connections = self.connections.clone();
         self.accept_loops.spawn(async move {
             while let Some(socket) = next_connection(&listener, &stop_accepting).await {
-                let reading = socket.reading();
+                let read_state = socket.read_state();
                 connections.spawn(serve_connection(
                     open(socket),
-                    reading,
+                    read_state,
                     stop_serving.clone(),
                 ));
             }
@@ -118,7 +118,7 @@
 /// Serves a connection until it ends, or until `stop_serving` is cancelled and the connection has shut down.
 async fn serve_connection<S>(
     connection: Accepted<S>,
-    reading: Reading,
+    read_state: ReadState,
     stop_serving: CancellationToken,
 ) where
     S: HttpService<Incoming>,
@@ -131,7 +131,7 @@
     let close = async {
         stop_serving.cancelled().await;
         sleep_until(accepted_at + FIRST_REQUEST_TIMEOUT).await;
-        finish_reading(&reading).await;
+        finish_reading(&read_state).await;
     };
     let ended = tokio::select! {
         // The connection is polled first: a request that has arrived is read and keeps the connection open.
@@ -150,13 +150,13 @@
 /// Waits until no part of a connection's requests is being read, within the time limits. Discarding of a body may begin
 /// during the wait for a head, and the next head may begin while a body is discarded, so each is checked again after
 /// the other.
-async fn finish_reading(reading: &Reading) {
+async fn finish_reading(read_state: &ReadState) {
     loop {
-        reading.discarded().await;
-        if timeout(HEAD_TIMEOUT, reading.answered()).await.is_err() {
+        read_state.discarded().await;
+        if timeout(HEAD_TIMEOUT, read_state.answered()).await.is_err() {
             tracing::debug!(event = "unanswered_at_close");
         }
-        if !reading.is_discarding() {
+        if !read_state.is_discarding() {
             return;
         }
     }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -28,19 +28,19 @@
 #[derive(Debug)]
 pub struct Socket {
     stream: TcpStream,
-    reading: Reading,
+    read_state: ReadState,
 }
 
 /// Which parts of a connection's requests are still being read. Shared with the service that responds on it.
 #[derive(Clone, Debug, Default)]
-pub struct Reading {
+pub struct ReadState {
     /// Whether the connection has read since it last wrote.
     unanswered: Arc<AtomicBool>,
     /// Tasks that discard the bodies of refused requests.
     discards: TaskTracker,
 }
 
-impl Reading {
+impl ReadState {
     /// Reads and discards the rest of a refused request's body, at most `max` bytes, while the caller is sent the
     /// refusal.
     pub fn discard(&self, body: Incoming, max: usize) {
@@ -75,13 +75,13 @@
             // The connection still works, only slower.
             tracing::debug!(event = "nodelay_failed", %error);
         }
-        let reading = Reading::default();
-        Self { stream, reading }
+        let read_state = ReadState::default();
+        Self { stream, read_state }
     }
 
     /// Which parts of the requests are still being read.
-    pub fn reading(&self) -> Reading {
-        self.reading.clone()
+    pub fn read_state(&self) -> ReadState {
+        self.read_state.clone()
     }
 
     /// The peer's address.
@@ -94,7 +94,7 @@
 
     fn note_written(&self, written: &Poll<io::Result<usize>>) {
         if let Poll::Ready(Ok(1..)) = written {
-            self.reading.unanswered.store(false, Ordering::Relaxed);
+            self.read_state.unanswered.store(false, Ordering::Relaxed);
         }
     }
 }
@@ -108,7 +108,7 @@
         let before = buffer.filled().len();
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.reading.unanswered.store(true, Ordering::Relaxed);
+            self.read_state.unanswered.store(true, Ordering::Relaxed);
         }
         read
     }
--- a/src/router/entry.rs
+++ b/src/router/entry.rs
@@ -24,7 +24,7 @@
 
 use super::http::{REQUEST_ID, reply};
 use super::request::{Id, Reason, Verdict};
-use crate::net::{Accepted, Reading, Server, Socket};
+use crate::net::{Accepted, ReadState, Server, Socket};
 
 /// Longest time to send a request's head, which also runs while a connection is idle. Hyper's
 /// default, and as long as a stop waits for a head.
@@ -73,7 +73,7 @@
         &self,
         peer: Option<Address>,
         request: hyper::Request<Incoming>,
-        reading: &Reading,
+        reading: &ReadState,
     ) -> Response {
         let mut response = match self.read(request, reading).await {
             Ok(request) => self.route(peer, request).await,
@@ -90,7 +90,7 @@
     async fn read(
         &self,
         request: hyper::Request<Incoming>,
-        reading: &Reading,
+        reading: &ReadState,
     ) -> Result<hyper::Request<Body>, Response> {
         let (parts, mut body) = request.into_parts();
         let too_large = || StatusCode::PAYLOAD_TOO_LARGE.into_response();
@@ -145,7 +145,7 @@
 ) -> Accepted<impl HttpService<Incoming, ResBody = Body, Error = Infallible, Future: Send> + Send> {
     // A caller that has left already has no address.
     let peer = socket.peer_addr().ok().map(Address::from);
-    let reading = socket.reading();
+    let reading = socket.read_state();
     let service = service_fn(move |request| {
         let (entry, peer, reading) = (entry.clone(), peer.clone(), reading.clone());
         async move { Ok::<_, Infallible>(entry.answer(peer, request, &reading).await) }
--- a/tests/close_reads.rs
+++ b/tests/close_reads.rs
@@ -24,9 +24,9 @@
     let address = listener.local_addr().unwrap();
     let server = Server::default();
     server.listen(listener, |socket| {
-        let reading = socket.reading();
+        let read_state = socket.read_state();
         let service = service_fn(move |request: hyper::Request<Incoming>| {
-            reading.discard(request.into_body(), BODY_MAX);
+            read_state.discard(request.into_body(), BODY_MAX);
             let body = Full::new(Bytes::from_static(b"ok"));
             async { Ok::<_, Infallible>(http::Response::new(body)) }
         });
