--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -251,7 +251,7 @@
     if let (Ok(end), Some(held)) = (&result, held) {
         control.written_holds.replace((end.era, held));
     }
-    follower.timeout.note(&result, begun_at.elapsed());
+    follower.timeout.adapt(&result, begun_at.elapsed());
     control
         .shared
         .note_call(partition.topic, &result.as_ref().map(|_| ()));
--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -131,7 +131,7 @@
         .store
         .append(cursor.partition, &records, Some(next), limit)
         .await;
-    cursor.timeout.note(&appended, begun.elapsed());
+    cursor.timeout.adapt(&appended, begun.elapsed());
     match appended {
         Ok(end) => {
             cursor.next = Some(end);
--- a/src/store/timeout.rs
+++ b/src/store/timeout.rs
@@ -32,7 +32,7 @@
     }
 
     /// Adapts the timeout to the result of a call that took `elapsed`.
-    pub fn note<T>(&mut self, result: &Result<T, CallError>, elapsed: Duration) {
+    pub fn adapt<T>(&mut self, result: &Result<T, CallError>, elapsed: Duration) {
         self.0 = match result {
             Err(CallError::Unknown) => self.0.mul_f64(BACKOFF),
             Err(CallError::Unreachable) => self.0,
