--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -82,7 +82,7 @@
             Ok(read) => Ok(read),
             Err(error) => {
                 let before = self.next.take();
-                if error.loses_place() {
+                if error.invalidates_place() {
                     self.lost_place = before;
                 }
                 Err(error)
@@ -128,7 +128,7 @@
     loop {
         match follower.read_next(&control, CONFIG_POLL).await {
             Ok(ReadPage { content, page }) => apply::operators(&control, &page, content),
-            Err(error) if error.loses_place() => {}
+            Err(error) if error.invalidates_place() => {}
             Err(_) => sleep(FAILED_PAUSE).await,
         }
     }
@@ -176,7 +176,7 @@
                 }
                 control.shared.set_has_targets();
             }
-            Err(error) if error.loses_place() => continue,
+            Err(error) if error.invalidates_place() => continue,
             Err(_) => {
                 was_lost = true;
                 sleep(FAILED_PAUSE).await;
@@ -206,7 +206,7 @@
             }
             Ok(ReadPage { page, .. }) => apply_routers(&control, &page, |_| true),
             // The next read starts over with the newest entries.
-            Err(error) if error.loses_place() => {}
+            Err(error) if error.invalidates_place() => {}
             Err(_) => control.state.borrow_mut().members.note_unread(),
         }
         control.publish_caller_addresses();
--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -234,7 +234,7 @@
         })
         .await;
         if let Err(error) = &page
-            && error.loses_place()
+            && error.invalidates_place()
         {
             cursor.next = None;
         }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -77,11 +77,11 @@
 
     /// Whether the store has answered that the place the call was based on is outdated.
     pub fn is_outdated(&self) -> bool {
-        matches!(self, Self::Moved { .. }) || self.loses_place()
+        matches!(self, Self::Moved { .. }) || self.invalidates_place()
     }
 
     /// Whether reading cannot continue from the present place, so that the newest records must be read again.
-    pub fn loses_place(&self) -> bool {
+    pub fn invalidates_place(&self) -> bool {
         matches!(self, Self::Gone { .. } | Self::Restored { .. })
     }
 }
