--- a/tests/store_hedge.rs
+++ b/tests/store_hedge.rs
@@ -1,4 +1,4 @@
-//! Reads of the store that are asked again while there is no answer.
+//! Hedged reads of the store, which are sent again while there is no answer.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -23,11 +23,11 @@
 }
 
 #[tokio::test]
-async fn silence_that_ends() {
+async fn store_recovers() {
     let calls = Cell::new(0);
     let silences = Cell::new(0);
-    let silent = || silences.set(silences.get() + 1);
-    let answer = hedged(GAP, silent, || {
+    let on_silence = || silences.set(silences.get() + 1);
+    let answer = hedged(GAP, on_silence, || {
         calls.set(calls.get() + 1);
         if calls.get() < 4 {
             never()
@@ -37,7 +37,11 @@
     })
     .await;
     assert_eq!(answer, Ok(4));
-    assert_eq!(silences.get(), 3, "each silence is told");
+    assert_eq!(
+        silences.get(),
+        3,
+        "on_silence is called before each repetition"
+    );
 }
 
 #[tokio::test]
@@ -69,7 +73,7 @@
     )
     .await;
     assert_eq!(answer, Err(gone));
-    // A lost connection says nothing while another call is still out.
+    // A lost connection is no answer while another call is pending.
     let calls = Cell::new(0);
     let answer = hedged(
         GAP,
