--- a/src/store/hedge.rs
+++ b/src/store/hedge.rs
@@ -27,7 +27,7 @@
     on_silence: impl Fn(),
     call: impl Fn() -> BoxFuture<'a, Result<T, CallError>>,
 ) -> Result<T, CallError> {
-    let end = Instant::now() + ANSWER_MAX;
+    let deadline = Instant::now() + ANSWER_MAX;
     let mut calls = FuturesUnordered::new();
     calls.push(call());
     loop {
@@ -40,7 +40,7 @@
                 on_silence();
                 calls.push(call());
             }
-            () = sleep_until(end) => return Err(CallError::Unknown),
+            () = sleep_until(deadline) => return Err(CallError::Unknown),
         }
     }
 }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -22,7 +22,7 @@
 /// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum CallError {
-    /// The store limits the rate of calls; the call had no effect.
+    /// Too many calls; the call had no effect.
     #[snafu(display("too many calls"))]
     Limited,
     /// The store is unavailable; the call had no effect.
@@ -46,7 +46,7 @@
         /// The offset at which it ends.
         end: u64,
     },
-    /// The store has been restored from a copy since the era of the call's place; an append may have taken effect.
+    /// The store has been restored from a copy since the call's place was read; an append may have taken effect.
     #[snafu(display("the store was restored from a copy, in era {era}"))]
     Restored {
         /// The store's present era.
@@ -58,7 +58,7 @@
         /// The key's length in bytes.
         length: usize,
     },
-    /// The answer's status or body is none that the store gives; the call may have taken effect.
+    /// The answer has a status or a body that the store does not use; the call may have taken effect.
     #[snafu(display("answered {status}"))]
     Refused {
         /// The answer's status.
