--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -131,7 +131,7 @@
         .store
         .append(cursor.partition, &records, Some(next), limit)
         .await;
-    cursor.timeout.note(&appended, begun.elapsed());
+    cursor.timeout.adapt(&appended, begun.elapsed());
     match appended {
         Ok(end) => {
             cursor.next = Some(end);
@@ -234,7 +234,7 @@
         })
         .await;
         if let Err(error) = &page
-            && error.loses_place()
+            && error.invalidates_place()
         {
             cursor.next = None;
         }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP/1.1 connections: to targets and to the platform's store, one request at a time on each, and from
-//! callers, on a server that ends without cutting anything off.
+//! HTTP/1.1 connections: client connections to targets and to the platform's store, with one request at a time on each,
+//! and a server for callers that shuts down gracefully.
 
 mod accept;
 mod connection;
@@ -13,4 +13,4 @@
 pub use connection::{Connection, Request, Response, SendError, open};
 pub use pool::Pool;
 pub use server::{Accepted, Server};
-pub use socket::{Reading, Socket};
+pub use socket::{ReadState, Socket};
