--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -39,22 +39,22 @@
         /// Takes the answer.
         reply: Reply,
     },
-    /// The head of a target's answer has arrived, whatever its status.
-    Heard {
+    /// The head of a target's response has arrived, with any status; it may carry notices of the target about itself.
+    Notice {
         /// The request.
         job: JobKey,
-        /// What the target says of itself.
+        /// The target's notices.
         notice: Notice,
     },
-    /// A target has begun to answer.
-    Answered {
+    /// A target has begun to respond.
+    ResponseStarted {
         /// The request.
         job: JobKey,
         /// The load that the target reported.
         load: Option<Load>,
     },
-    /// The connection to a request's target broke off.
-    BrokenOff {
+    /// An attempt was interrupted: its connection was lost, or its response broke off or was unusable.
+    Interrupted {
         /// The request.
         job: JobKey,
     },
@@ -65,8 +65,8 @@
         /// How.
         ending: Ending,
     },
-    /// The process is stopping: callers are to go elsewhere.
-    Leave,
+    /// The process is stopping: callers must connect to other routers.
+    Drain,
     /// Nothing runs any more: give grants back, and answer other routers for the last time.
     Close {
         /// Told when that is done.
@@ -93,8 +93,8 @@
         Self(sender)
     }
 
-    /// Tells the control thread something.
-    pub fn tell(&self, message: Message) {
+    /// Sends a message to the control thread.
+    pub fn send(&self, message: Message) {
         // The thread only ends with the process, which then answers nobody any more.
         let _ = self.0.send(message);
     }
@@ -105,7 +105,7 @@
     /// Why it does not run.
     pub async fn begin(&self, job: Job, wait: Duration) -> Result<Attempt, Refusal> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Begin { job, wait, reply });
+        self.send(Message::Begin { job, wait, reply });
         self.attempt(answer).await
     }
 
@@ -185,7 +185,7 @@
     ) -> Result<Self, Refusal> {
         let (reply, answer) = oneshot::channel();
         self.has_ended = true;
-        self.controller.tell(Message::Retry {
+        self.controller.send(Message::Retry {
             job: self.placement.job,
             ending: self.ending(outcome),
             charge,
@@ -201,25 +201,25 @@
         }
     }
 
-    /// Tells what the target says of itself in the head of its answer.
-    pub fn heard(&self, notice: Notice) {
-        self.controller.tell(Message::Heard {
+    /// Reports the target's notices from the head of its response.
+    pub fn report_notice(&self, notice: Notice) {
+        self.controller.send(Message::Notice {
             job: self.placement.job,
             notice,
         });
     }
 
-    /// Tells that the target has begun to answer.
-    pub fn answered(&self, load: Option<Load>) {
-        self.controller.tell(Message::Answered {
+    /// Reports that the target has begun to respond.
+    pub fn report_response_started(&self, load: Option<Load>) {
+        self.controller.send(Message::ResponseStarted {
             job: self.placement.job,
             load,
         });
     }
 
-    /// Tells that the connection to the target broke off. To be told before the attempt ends.
-    pub fn broke_off(&self) {
-        self.controller.tell(Message::BrokenOff {
+    /// Reports that the attempt was interrupted. Must be called before the attempt ends.
+    pub fn report_interrupted(&self) {
+        self.controller.send(Message::Interrupted {
             job: self.placement.job,
         });
     }
@@ -231,7 +231,7 @@
 
     fn finish(&mut self, outcome: Option<Outcome>) {
         self.has_ended = true;
-        self.controller.tell(Message::End {
+        self.controller.send(Message::End {
             job: self.placement.job,
             ending: self.ending(outcome),
         });
--- a/src/gateway/control/mod.rs
+++ b/src/gateway/control/mod.rs
@@ -165,11 +165,14 @@
             let next = state.retry(now, job, ending, charge);
             answer(&mut state, now, reply, next);
         }
-        Message::Heard { job, notice } => notices::note_from_target(control, job, &notice),
-        Message::Answered { job, load } => control.state.borrow_mut().answered(now, job, load),
-        Message::BrokenOff { job } => quarantine::broken_off(control, job),
+        Message::Notice { job, notice } => notices::note_from_target(control, job, &notice),
+        Message::ResponseStarted { job, load } => control
+            .state
+            .borrow_mut()
+            .note_response_started(now, job, load),
+        Message::Interrupted { job } => quarantine::handle_interrupted(control, job),
         Message::End { job, ending } => control.state.borrow_mut().end(now, job, ending),
-        Message::Leave => {
+        Message::Drain => {
             control.state.borrow_mut().members.me.is_ready = false;
             control.shared.entry_changed.notify_one();
             control.publish_caller_addresses();
--- a/src/gateway/control/notices.rs
+++ b/src/gateway/control/notices.rs
@@ -29,7 +29,7 @@
 /// Applies the notice that a target sent in the head of its answer to a request.
 pub(super) fn note_from_target(control: &Control, job: JobKey, notice: &Notice) {
     let now = control.now();
-    let news = control.state.borrow_mut().heard(now, job, notice);
+    let news = control.state.borrow_mut().apply_notice(now, job, notice);
     control.shared.notices.note(notice, &news);
     if !news.is_empty() {
         control.notice_changed.notify_one();
--- a/src/gateway/control/quarantine.rs
+++ b/src/gateway/control/quarantine.rs
@@ -30,9 +30,12 @@
 /// Prefix of a router's name in the key of its row. Router names contain no slash.
 const KEY_PREFIX: &str = "quarantine/";
 
-/// Handles an attempt that broke off: probes the port of its target if that may have crashed.
-pub(super) fn broken_off(control: &Rc<Control>, job: JobKey) {
-    let suspected = control.state.borrow_mut().broke_off(control.now(), job);
+/// Handles an interrupted attempt: probes the port of its target if that may have crashed.
+pub(super) fn handle_interrupted(control: &Rc<Control>, job: JobKey) {
+    let suspected = control
+        .state
+        .borrow_mut()
+        .note_interrupted(control.now(), job);
     publish_changes(control);
     let Some(target) = suspected else {
         return;
@@ -52,7 +55,7 @@
     if let Ok(Err(error)) = connected
         && error.kind() == std::io::ErrorKind::ConnectionRefused
     {
-        control.state.borrow_mut().crashed(control.now(), target);
+        control.state.borrow_mut().note_crash(control.now(), target);
         publish_changes(control);
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -105,7 +105,7 @@
     /// Tells the control thread of a connection that broke off, while the attempt still has its target.
     fn tell_break(&self) {
         if self.failure == Failure::BrokenOff {
-            self.attempt.broke_off();
+            self.attempt.report_interrupted();
         }
     }
 
@@ -226,11 +226,11 @@
         // one that was meant. Some refusals do not name the request.
         let is_refusal = reply.not_run && reply.id.is_none();
         if !reply.wrong_instance && (is_ours || is_refusal) {
-            attempt.heard(reply.notice);
+            attempt.report_notice(reply.notice);
         }
         if reply.not_run {
             if reply.load.is_some() {
-                attempt.answered(reply.load);
+                attempt.report_response_started(reply.load);
             }
             return Err(if reply.wrong_instance {
                 Failure::WrongInstance
@@ -244,7 +244,7 @@
             tracing::warn!(event = "foreign_answer", id = %self.request.id, answers = ?reply.id);
             return Err(Failure::BrokenOff);
         }
-        attempt.answered(reply.load);
+        attempt.report_response_started(reply.load);
         Ok((parts, incoming, reply))
     }
 
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -169,7 +169,7 @@
     });
     let (active, connections) = (shared.active(), server.connections());
     tracing::info!(event = "stopping", active, connections);
-    controller.tell(Message::Leave);
+    controller.send(Message::Drain);
     while Instant::now() < end && (since.elapsed() < plan.linger || shared.active() > 0) {
         sleep(STOP_POLL).await;
     }
@@ -210,7 +210,7 @@
 
 async fn give_back(controller: &Controller, limit: Duration) {
     let (done, closed) = oneshot::channel();
-    controller.tell(Message::Close { done });
+    controller.send(Message::Close { done });
     if timeout(limit, closed).await.is_err() {
         tracing::warn!(event = "give_back_timed_out");
     }
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -206,7 +206,7 @@
 
     /// Applies a target's notices about itself from the head of its answer; returns those that other routers need to
     /// know.
-    pub fn heard(&mut self, now: Millis, key: JobKey, notice: &Notice) -> Vec<Word> {
+    pub fn apply_notice(&mut self, now: Millis, key: JobKey, notice: &Notice) -> Vec<Word> {
         let Some(running) = self.running.get(&key) else {
             return Vec::new();
         };
@@ -244,8 +244,8 @@
         is_news
     }
 
-    /// Records that a target has begun to answer, and the load that it reported.
-    pub fn answered(&mut self, now: Millis, key: JobKey, load: Option<Load>) {
+    /// Records that a target has begun to respond, and the load that it reported.
+    pub fn note_response_started(&mut self, now: Millis, key: JobKey, load: Option<Load>) {
         let Some(running) = self.running.get_mut(&key) else {
             return;
         };
@@ -272,9 +272,9 @@
         }
     }
 
-    /// Records that a target broke off its answer to a request. Returns the target if it may have crashed and that is
-    /// not known yet.
-    pub fn broke_off(&mut self, now: Millis, key: JobKey) -> Option<TargetKey> {
+    /// Records that the current attempt of a request was interrupted. Returns the target if it may have crashed and
+    /// that is not known yet.
+    pub fn note_interrupted(&mut self, now: Millis, key: JobKey) -> Option<TargetKey> {
         let running = self.running.get(&key)?;
         let target = running.target?;
         let listed = self.targets.get(target);
@@ -302,13 +302,13 @@
         if let Change::Restarted { former } = change
             && !self.targets.get(former).has_said_leaving()
         {
-            self.crashed(now, former);
+            self.note_crash(now, former);
         }
         change
     }
 
     /// Records that a target has crashed.
-    pub fn crashed(&mut self, now: Millis, target: TargetKey) {
+    pub fn note_crash(&mut self, now: Millis, target: TargetKey) {
         self.targets.note_crash(now, target);
         let listed = self.targets.get(target);
         let (hash, instance) = (listed.hash(), listed.listing.instance.clone());
