--- a/src/gateway/deadline.rs
+++ b/src/gateway/deadline.rs
@@ -25,9 +25,9 @@
 
 /// Why a request's time is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Over {
+pub enum Expiry {
     /// The caller waits no longer.
-    Late,
+    Timeout,
     /// The process is stopping and waits no longer.
     Stop,
 }
@@ -44,21 +44,21 @@
     ///
     /// # Errors
     /// Why the time is over.
-    pub async fn within<T>(&self, future: impl Future<Output = T>) -> Result<T, Over> {
+    pub async fn within<T>(&self, future: impl Future<Output = T>) -> Result<T, Expiry> {
         tokio::select! {
             biased;
             output = future => Ok(output),
-            () = self.cut.cancelled() => Err(Over::Stop),
-            () = sleep_until(self.at) => Err(Over::Late),
+            () = self.cut.cancelled() => Err(Expiry::Stop),
+            () = sleep_until(self.at) => Err(Expiry::Timeout),
         }
     }
 
     /// Whether the time is over, and why.
-    pub fn over(&self) -> Option<Over> {
+    pub fn expiry(&self) -> Option<Expiry> {
         if self.cut.is_cancelled() {
-            Some(Over::Stop)
+            Some(Expiry::Stop)
         } else if self.left().is_zero() {
-            Some(Over::Late)
+            Some(Expiry::Timeout)
         } else {
             None
         }
--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -8,7 +8,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::retry::{Failure, Verdict};
-use crate::gateway::deadline::Over;
+use crate::gateway::deadline::Expiry;
 use crate::units::{Millis, Tokens};
 
 /// Time to come back without a configuration: one comes within a read of the store.
@@ -143,8 +143,8 @@
 
 impl Reason {
     /// What is told of a request whose time was over before anything was sent.
-    pub(in crate::gateway) fn before(over: Over) -> Self {
-        Self::of(Failure::before(over), Verdict::NotRun)
+    pub(in crate::gateway) fn before(expiry: Expiry) -> Self {
+        Self::of(Failure::before(expiry), Verdict::NotRun)
     }
 
     /// What is told of a request that is given up after a failed attempt. `verdict` covers all of its
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -8,7 +8,7 @@
 use std::collections::VecDeque;
 
 use crate::ejection::Outcome;
-use crate::gateway::deadline::Over;
+use crate::gateway::deadline::Expiry;
 use crate::gateway::route::Kind;
 use crate::units::Millis;
 
@@ -70,18 +70,18 @@
 
 impl Failure {
     /// The failure of an attempt whose time was over before anything was sent.
-    pub(in crate::gateway) fn before(over: Over) -> Self {
-        match over {
-            Over::Late => Self::Late,
-            Over::Stop => Self::Stopping,
+    pub(in crate::gateway) fn before(expiry: Expiry) -> Self {
+        match expiry {
+            Expiry::Timeout => Self::Late,
+            Expiry::Stop => Self::Stopping,
         }
     }
 
     /// The failure of an attempt whose time was over while the target worked.
-    pub(in crate::gateway) fn during(over: Over) -> Self {
-        match over {
-            Over::Late => Self::TimedOut,
-            Over::Stop => Self::Cut,
+    pub(in crate::gateway) fn during(expiry: Expiry) -> Self {
+        match expiry {
+            Expiry::Timeout => Self::TimedOut,
+            Expiry::Stop => Self::Cut,
         }
     }
 
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -126,7 +126,7 @@
         let begun = self.relay.controller.begin(self.job(), wait);
         match self.deadline.within(begun).await {
             Ok(begun) => begun.map_err(Reason::Refused),
-            Err(over) => Err(Reason::before(over)),
+            Err(expiry) => Err(Reason::before(expiry)),
         }
     }
 
@@ -152,14 +152,14 @@
         let address = attempt.placement().address;
         let connected = match self.deadline.within(self.relay.connect(address)).await {
             Ok(connected) => connected,
-            Err(over) => return Err(failed(attempt, Failure::before(over))),
+            Err(expiry) => return Err(failed(attempt, Failure::before(expiry))),
         };
         let Some(mut connection) = connected else {
             self.unreached += 1;
             return Err(failed(attempt, Failure::Unreachable));
         };
-        if let Some(over) = self.deadline.over() {
-            return Err(failed(attempt, Failure::before(over)));
+        if let Some(expiry) = self.deadline.expiry() {
+            return Err(failed(attempt, Failure::before(expiry)));
         }
         let request = match self.forward(&attempt) {
             Ok(request) => request,
@@ -204,7 +204,7 @@
         let response = match self.deadline.within(sent).await {
             Ok(None) => return Err(Failure::BrokenOff),
             Ok(Some(sent)) => sent,
-            Err(over) => return Err(Failure::during(over)),
+            Err(expiry) => return Err(Failure::during(expiry)),
         };
         let response = match response {
             Ok(response) => response,
@@ -273,7 +273,7 @@
             attempts_max: self.route.attempts,
             sent: self.sent,
             unreached: self.unreached,
-            is_expired: self.deadline.over().is_some(),
+            is_expired: self.deadline.expiry().is_some(),
         }
     }
 
@@ -348,7 +348,7 @@
         let body = match self.deadline.within(collected).await {
             Ok(Some(Ok(body))) => body.to_bytes(),
             Ok(None | Some(Err(_))) => return Err(failed(attempt, Failure::BrokenOff)),
-            Err(over) => return Err(failed(attempt, Failure::during(over))),
+            Err(expiry) => return Err(failed(attempt, Failure::during(expiry))),
         };
         self.relay
             .keep(attempt.placement().address, connection, &reply);
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -238,7 +238,7 @@
         loop {
             let frame = self.attempt.until_ended(self.incoming.frame());
             let frame = match deadline.within(frame).await {
-                Err(over) => return Step::Broken(Failure::during(over)),
+                Err(expiry) => return Step::Broken(Failure::during(expiry)),
                 Ok(None | Some(Some(Err(_)))) => return Step::Broken(Failure::BrokenOff),
                 Ok(Some(None)) => return self.end(events),
                 Ok(Some(Some(Ok(frame)))) => frame,
--- a/src/gateway/upload.rs
+++ b/src/gateway/upload.rs
@@ -24,6 +24,6 @@
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Reason::TooLong),
         Ok(Err(_)) => Err(Reason::BadBody),
-        Err(over) => Err(Reason::before(over)),
+        Err(expiry) => Err(Reason::before(expiry)),
     }
 }
