--- a/src/gateway/incarnation.rs
+++ b/src/gateway/incarnation.rs
@@ -10,10 +10,10 @@
 /// Between the id and the start; no id has it.
 pub const SEPARATOR: char = '@';
 
-/// The name of the incarnation that a target began at `born`, in milliseconds since 1970.
-pub fn name(id: &str, born: Option<Millis>) -> String {
-    match born {
-        Some(born) => format!("{id}{SEPARATOR}{born}"),
+/// The name of the incarnation that a target started at `start`, in milliseconds since 1970.
+pub fn name(id: &str, start: Option<Millis>) -> String {
+    match start {
+        Some(start) => format!("{id}{SEPARATOR}{start}"),
         None => id.to_owned(),
     }
 }
@@ -24,15 +24,15 @@
 }
 
 /// When the incarnation began, where that is known.
-pub fn born(name: &str) -> Option<Millis> {
-    let (_, born) = name.split_once(SEPARATOR)?;
-    born.parse().ok().map(Millis)
+pub fn start_time(name: &str) -> Option<Millis> {
+    let (_, start) = name.split_once(SEPARATOR)?;
+    start.parse().ok().map(Millis)
 }
 
 /// Whether an incarnation of a target began before another one.
 pub fn is_older(name: &str, other: &str) -> bool {
-    match (born(name), born(other)) {
-        (Some(born), Some(other)) => born < other,
+    match (start_time(name), start_time(other)) {
+        (Some(start), Some(other)) => start < other,
         // An entry that tells no start is of a program before this one knew of them, or of another writer.
         (None, Some(_)) => true,
         (_, None) => false,
--- a/tests/target_return.rs
+++ b/tests/target_return.rs
@@ -35,12 +35,12 @@
 fn names_of_incarnations() {
     let name = incarnation::name("i-1", Some(Millis(17)));
     assert_eq!(
-        (incarnation::id(&name), incarnation::born(&name)),
+        (incarnation::id(&name), incarnation::start_time(&name)),
         ("i-1", Some(Millis(17)))
     );
     let untold = incarnation::name("i-1", None);
     assert_eq!(
-        (incarnation::id(&untold), incarnation::born(&untold)),
+        (incarnation::id(&untold), incarnation::start_time(&untold)),
         ("i-1", None)
     );
     assert!(incarnation::is_older(&untold, &name) && !incarnation::is_older(&name, &untold));
