--- a/src/gateway/reply.rs
+++ b/src/gateway/reply.rs
@@ -1,4 +1,4 @@
-//! The answer that a caller gets in place of a target's.
+//! The response that a caller gets when its request is refused.
 
 use http::{HeaderValue, Response, header};
 
@@ -7,8 +7,8 @@
 use super::dialect::Dialect;
 use crate::units::Millis;
 
-/// The answer for a reason, to the request of this id; its caller may come back after `retry_after`.
-pub fn answer(
+/// Builds the response that refuses the request `id`; its caller may retry after `retry_after`.
+pub fn refusal(
     reason: Reason,
     retry_after: Option<Millis>,
     dialect: &dyn Dialect,
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -84,7 +84,7 @@
         Err(error) => {
             tracing::info!(event = "refused", reason = "bad_header", %error);
             connection.reading.discard(body, body_max(relay));
-            return reply::answer(Reason::BadHeader, None, &*relay.dialect, "");
+            return reply::refusal(Reason::BadHeader, None, &*relay.dialect, "");
         }
     };
     let id = request.id.clone();
@@ -142,7 +142,7 @@
         retry_after_ms = retry_after.map(|after| after.0),
         ms = elapsed.as_millis() as u64
     );
-    reply::answer(reason, retry_after, &*relay.dialect, id)
+    reply::refusal(reason, retry_after, &*relay.dialect, id)
 }
 
 /// Lets a request in by the configuration in force, and reads its body.
--- a/tests/pinned_gateway.rs
+++ b/tests/pinned_gateway.rs
@@ -589,7 +589,7 @@
         Reason::TimedOut,
     ];
     let lines = reasons.map(|reason| {
-        let answer = reply::answer(reason, reason.shortest_retry(), &Platform, "r1");
+        let answer = reply::refusal(reason, reason.shortest_retry(), &Platform, "r1");
         let (parts, body) = answer.into_parts();
         let Body::Full(Some(body)) = body else {
             panic!("a refusal has a body");
