--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -13,8 +13,8 @@
 use crate::ejection::Outcome;
 use crate::units::Tokens;
 
-/// Where an answer to a question goes.
-pub type Reply = oneshot::Sender<Result<Placement, Refusal>>;
+/// Sends the control thread's reply to the request that waits for it.
+pub type ReplySender = oneshot::Sender<Result<Placement, Refusal>>;
 
 /// What the traffic asks of the control thread, and tells it.
 #[derive(Debug)]
@@ -25,8 +25,8 @@
         job: Job,
         /// Longest wait for a grant.
         wait: Duration,
-        /// Takes the answer.
-        reply: Reply,
+        /// Receives the placement, or why there is none.
+        reply: ReplySender,
     },
     /// An attempt has failed: may there be another, and where?
     Retry {
@@ -36,8 +36,8 @@
         ending: Ending,
         /// Whether the retry is charged to the retry budget.
         charge: Charge,
-        /// Takes the answer.
-        reply: Reply,
+        /// Receives the placement, or why there is none.
+        reply: ReplySender,
     },
     /// The head of a target's response has arrived, with any status; it may carry notices of the target about itself.
     Notice {
--- a/src/gateway/control/mod.rs
+++ b/src/gateway/control/mod.rs
@@ -31,7 +31,7 @@
 
 use self::context::Control;
 use self::waiting::{WaitingRequest, answer};
-use super::attempt::{Message, Reply};
+use super::attempt::{Message, ReplySender};
 use super::decision::admission::{self, Lack, Source};
 use super::decision::refusal::Refusal;
 use super::dialect::Dialect;
@@ -189,7 +189,7 @@
     }
 }
 
-fn begin(control: &Rc<Control>, job: Job, wait: Duration, reply: Reply) {
+fn begin(control: &Rc<Control>, job: Job, wait: Duration, reply: ReplySender) {
     let now = control.now();
     let mut state = control.state.borrow_mut();
     let result = state.begin(now, job.clone());
@@ -211,7 +211,7 @@
 }
 
 /// Queues a request for a grant or a loan and asks for one; refuses it where there is nobody to ask.
-fn wait_for_grant(control: &Rc<Control>, job: Job, wait: Duration, reply: Reply) {
+fn wait_for_grant(control: &Rc<Control>, job: Job, wait: Duration, reply: ReplySender) {
     let Some((customer, _)) = job.payer.clone() else {
         return;
     };
--- a/src/gateway/control/waiting.rs
+++ b/src/gateway/control/waiting.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::gateway::attempt::Reply;
+use crate::gateway::attempt::ReplySender;
 use crate::gateway::decision::refusal::Refusal;
 use crate::gateway::job::{Delivery, Ending, Job, Placement};
 use crate::gateway::state::State;
@@ -17,7 +17,7 @@
     pub(super) queued_at: Instant,
     /// Latest time to wait until.
     pub(super) deadline: Instant,
-    pub(super) reply: Reply,
+    pub(super) reply: ReplySender,
 }
 
 /// All waiting requests.
@@ -94,7 +94,7 @@
 pub(super) fn answer(
     state: &mut State,
     now: Millis,
-    reply: Reply,
+    reply: ReplySender,
     result: Result<Placement, Refusal>,
 ) {
     if let Err(Ok(placement)) = reply.send(result) {
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -61,8 +61,8 @@
 }
 
 impl Delivery {
-    /// Its word in logs.
-    pub fn word(self) -> &'static str {
+    /// Its name in logs.
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Nothing => "nothing",
             Self::Counted(_) => "counted",
--- a/src/gateway/state/money.rs
+++ b/src/gateway/state/money.rs
@@ -42,7 +42,7 @@
                 %customer,
                 reserved = reserved.0,
                 cost = cost.0,
-                delivery = running.delivery.word()
+                delivery = running.delivery.as_str()
             );
         }
     }
--- a/tests/untaken_attempt.rs
+++ b/tests/untaken_attempt.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use futures::FutureExt;
-use lanedeck::gateway::attempt::{Controller, Message, Reply};
+use lanedeck::gateway::attempt::{Controller, Message, ReplySender};
 use lanedeck::gateway::fingerprint::Fingerprint;
 use lanedeck::gateway::job::{Job, Placement};
 use lanedeck::gateway::key::{JobKey, TargetKey};
@@ -37,7 +37,7 @@
 }
 
 /// Where the answer goes that the control thread was asked for.
-fn asked(messages: &mut mpsc::UnboundedReceiver<Message>) -> Reply {
+fn asked(messages: &mut mpsc::UnboundedReceiver<Message>) -> ReplySender {
     match messages.try_recv() {
         Ok(Message::Begin { reply, .. }) => reply,
         other => panic!("the control thread is asked, not told {other:?}"),
