--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! The traffic's side of the control state: the questions that it asks, and its hold on an attempt.
+//! How the traffic thread uses the control state: the messages to the control thread, and the handle of an attempt.
 
 use std::time::Duration;
 
@@ -16,23 +16,23 @@
 /// Sends the control thread's reply to the request that waits for it.
 pub type ReplySender = oneshot::Sender<Result<Placement, Refusal>>;
 
-/// What the traffic asks of the control thread, and tells it.
+/// A message from the traffic thread to the control thread.
 #[derive(Debug)]
 pub enum Message {
-    /// May this request run, and where?
+    /// Asks for the placement of a new request.
     Begin {
         /// The request.
         job: Job,
-        /// Longest wait for a grant.
+        /// Maximum wait for a grant.
         wait: Duration,
         /// Receives the placement, or why there is none.
         reply: ReplySender,
     },
-    /// An attempt has failed: may there be another, and where?
+    /// Asks for the placement of another attempt after one has failed.
     Retry {
         /// The request.
         job: JobKey,
-        /// The end of the attempt.
+        /// The end of the failed attempt.
         ending: Ending,
         /// Whether the retry is charged to the retry budget.
         charge: Charge,
@@ -62,23 +62,24 @@
     End {
         /// The request.
         job: JobKey,
-        /// How.
+        /// How it ended.
         ending: Ending,
     },
     /// The process is stopping: callers must connect to other routers.
     Drain,
-    /// Nothing runs any more: give grants back, and answer other routers for the last time.
+    /// No request runs any more: the control thread gives grants back, sends its last replies to other routers and
+    /// closes the link to them.
     Close {
-        /// Told when that is done.
+        /// Signalled when that is done.
         done: oneshot::Sender<()>,
     },
 }
 
-/// Asks the control thread.
+/// Sends messages to the control thread.
 #[derive(Clone, Debug)]
 pub struct Controller(mpsc::UnboundedSender<Message>);
 
-/// An attempt under way. Dropped without an end, its caller has left.
+/// An attempt in progress. If it is dropped without being ended, its caller has disconnected.
 #[derive(Debug)]
 pub struct Attempt {
     controller: Controller,
@@ -88,41 +89,41 @@
 }
 
 impl Controller {
-    /// The asking side of a channel.
+    /// Wraps the sending half of the control thread's channel.
     pub fn new(sender: mpsc::UnboundedSender<Message>) -> Self {
         Self(sender)
     }
 
     /// Sends a message to the control thread.
     pub fn send(&self, message: Message) {
-        // The thread only ends with the process, which then answers nobody any more.
+        // The control thread ends only with the process, which then responds to no caller any more.
         let _ = self.0.send(message);
     }
 
     /// Starts a request.
     ///
     /// # Errors
-    /// Why it does not run.
+    /// Why it cannot run.
     pub async fn begin(&self, job: Job, wait: Duration) -> Result<Attempt, Refusal> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         self.send(Message::Begin { job, wait, reply });
-        self.attempt(answer).await
+        self.receive_attempt(receiver).await
     }
 
-    async fn attempt(
+    async fn receive_attempt(
         &self,
-        answer: oneshot::Receiver<Result<Placement, Refusal>>,
+        receiver: oneshot::Receiver<Result<Placement, Refusal>>,
     ) -> Result<Attempt, Refusal> {
-        let mut pending = Pending {
+        let mut pending = PendingReply {
             controller: self,
-            answer,
+            receiver,
         };
-        // Without an answer the process is ending.
-        let placement = (&mut pending.answer).await;
-        Ok(self.hold(placement.unwrap_or(Err(Refusal::NoTarget))?))
+        // If the sender was dropped, the process is ending.
+        let placement = (&mut pending.receiver).await;
+        Ok(self.new_attempt(placement.unwrap_or(Err(Refusal::NoTarget))?))
     }
 
-    fn hold(&self, placement: Placement) -> Attempt {
+    fn new_attempt(&self, placement: Placement) -> Attempt {
         Attempt {
             controller: self.clone(),
             placement,
@@ -132,30 +133,31 @@
     }
 }
 
-/// A question without its answer. Dropped, its caller has left: an attempt that was answered and not taken
-/// is ended, or its tokens would be reserved for as long as the process runs.
-struct Pending<'a> {
+/// A request to the control thread whose reply is not received yet. If it is dropped, its caller has disconnected. Drop
+/// ends an attempt that the control thread has already placed; otherwise its tokens would stay reserved for as long as
+/// the process runs.
+struct PendingReply<'a> {
     controller: &'a Controller,
-    answer: oneshot::Receiver<Result<Placement, Refusal>>,
+    receiver: oneshot::Receiver<Result<Placement, Refusal>>,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingReply<'_> {
     fn drop(&mut self) {
-        self.answer.close();
-        if let Ok(Ok(placement)) = self.answer.try_recv() {
-            drop(self.controller.hold(placement));
+        self.receiver.close();
+        if let Ok(Ok(placement)) = self.receiver.try_recv() {
+            drop(self.controller.new_attempt(placement));
         }
     }
 }
 
 impl Attempt {
-    /// Where it goes.
+    /// Where the attempt is sent.
     pub fn placement(&self) -> &Placement {
         &self.placement
     }
 
-    /// Waits for something that its target does; `None` once the target's incarnation is known to have ended, which
-    /// a connection to a host that has lost power does not show.
+    /// Waits for an operation on the target's connection; `None` once the target's incarnation is known to have ended,
+    /// which a connection to a host that has lost power does not show.
     pub async fn until_ended<T>(&self, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -164,26 +166,26 @@
         }
     }
 
-    /// Notes that some of the answer is delivered from now on.
-    pub fn deliver_some(&mut self) {
+    /// Records that a part of the response, of unknown length, is delivered from now on.
+    pub fn note_delivery_started(&mut self) {
         self.delivery = Delivery::Uncounted;
     }
 
-    /// Notes that the answer was delivered to its end, with so many tokens.
-    pub fn deliver_all(&mut self, tokens: Tokens) {
+    /// Records that the complete response was delivered, and its length in tokens.
+    pub fn note_delivered(&mut self, tokens: Tokens) {
         self.delivery = Delivery::Counted(tokens);
     }
 
     /// Ends this attempt and starts another; `outcome` is how its target is judged.
     ///
     /// # Errors
-    /// Why there is none; the request has then ended.
+    /// Why there is no other attempt; the request has then ended.
     pub async fn retry(
         mut self,
         outcome: Option<Outcome>,
         charge: Charge,
     ) -> Result<Self, Refusal> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         self.has_ended = true;
         self.controller.send(Message::Retry {
             job: self.placement.job,
@@ -191,7 +193,7 @@
             charge,
             reply,
         });
-        self.controller.attempt(answer).await
+        self.controller.receive_attempt(receiver).await
     }
 
     fn ending(&self, outcome: Option<Outcome>) -> Ending {
--- a/src/gateway/body.rs
+++ b/src/gateway/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers: complete, or as they come.
+//! Response bodies, buffered or streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -9,21 +9,21 @@
 use hyper::body::{Frame, SizeHint};
 use snafu::Snafu;
 
-/// A stream that ended early; the connection is closed without the end of the body.
+/// The error of a body that ended early: the connection is closed without the end of the body.
 #[derive(Clone, Copy, Debug, Snafu)]
 #[snafu(display("broken off"))]
-pub struct Broken;
+pub struct Truncated;
 
-/// A body.
+/// A response body.
 pub enum Body {
-    /// All of it, until it has been taken.
+    /// The complete body; `None` once it was sent.
     Full(Option<Bytes>),
-    /// As it comes.
-    Stream(BoxStream<'static, Result<Bytes, Broken>>),
+    /// A body that is sent as it arrives.
+    Stream(BoxStream<'static, Result<Bytes, Truncated>>),
 }
 
 impl Body {
-    /// A complete body.
+    /// Creates a body from bytes that are all known.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Some(bytes.into()))
     }
@@ -31,12 +31,12 @@
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
             Self::Full(bytes) => {
                 let bytes = bytes.take().filter(|bytes| !bytes.is_empty());
@@ -66,7 +66,7 @@
     }
 }
 
-/// A body from a stream.
-pub fn stream(stream: impl Stream<Item = Result<Bytes, Broken>> + Send + 'static) -> Body {
+/// Creates a body from a stream of chunks.
+pub fn stream(stream: impl Stream<Item = Result<Bytes, Truncated>> + Send + 'static) -> Body {
     Body::Stream(stream.boxed())
 }
--- a/src/gateway/deadline.rs
+++ b/src/gateway/deadline.rs
@@ -1,7 +1,7 @@
-//! When a request's time is over: its caller waits no longer, or the process that stops does not.
+//! The deadline of a request: it expires when its caller waits no longer, or when the stopping process does not.
 //!
-//! Whatever waits on the way of a request waits within its deadline, so that a request which a stop can
-//! wait for no longer is given up in the same way as a late one: with an answer, not with its connection.
+//! Every wait on behalf of a request is bounded by its deadline. A request that a stop can wait for no longer is thus
+//! ended in the same way as a late one: with a response, not by closing its connection.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::boot_clock;
 use crate::units::Millis;
 
-/// The end of a request's time.
+/// The deadline of a request.
 #[derive(Clone, Debug)]
 pub struct Deadline {
-    /// Until when its caller waits, by the clock that timers run by.
+    /// When the caller stops waiting, by the clock that timers use.
     at: Instant,
-    /// The same by the clock that also counts while the host sleeps: a caller elsewhere does not wait longer for it,
-    /// and no target is told that it would.
+    /// The same by the clock that also counts while the host sleeps: a caller on another host does not wait longer
+    /// because of the sleep, and the time limit sent to a target must not suggest that it does.
     at_boot: Millis,
-    cut: CancellationToken,
+    abort: CancellationToken,
 }
 
-/// Why a request's time is over.
+/// Why the deadline of a request has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expiry {
     /// The caller waits no longer.
@@ -33,29 +33,29 @@
 }
 
 impl Deadline {
-    /// The end of the caller's time; `cut` is cancelled when a stop waits no longer.
-    pub fn new(at: Instant, cut: CancellationToken) -> Self {
+    /// Creates a deadline at `at`. It also expires when `abort` is cancelled: a stop does that once it waits no longer.
+    pub fn new(at: Instant, abort: CancellationToken) -> Self {
         let left = at.saturating_duration_since(Instant::now());
         let at_boot = boot_clock::now() + Millis(left.as_millis() as u64);
-        Self { at, at_boot, cut }
+        Self { at, at_boot, abort }
     }
 
-    /// Waits for something within the time.
+    /// Waits for a future until the deadline expires.
     ///
     /// # Errors
-    /// Why the time is over.
+    /// Why the deadline has expired.
     pub async fn within<T>(&self, future: impl Future<Output = T>) -> Result<T, Expiry> {
         tokio::select! {
             biased;
             output = future => Ok(output),
-            () = self.cut.cancelled() => Err(Expiry::Stop),
+            () = self.abort.cancelled() => Err(Expiry::Stop),
             () = sleep_until(self.at) => Err(Expiry::Timeout),
         }
     }
 
-    /// Whether the time is over, and why.
+    /// Why the deadline has expired, if it has.
     pub fn expiry(&self) -> Option<Expiry> {
-        if self.cut.is_cancelled() {
+        if self.abort.is_cancelled() {
             Some(Expiry::Stop)
         } else if self.left().is_zero() {
             Some(Expiry::Timeout)
@@ -64,12 +64,12 @@
         }
     }
 
-    /// What is left for the caller.
+    /// The time left until the caller stops waiting.
     pub fn left(&self) -> Duration {
         self.left_at(boot_clock::now())
     }
 
-    /// What is left for the caller at another time by the host's steady clock.
+    /// The time left until the caller stops waiting, if the host's steady clock reads `now`.
     pub fn left_at(&self, now: Millis) -> Duration {
         let awake = self.at.saturating_duration_since(Instant::now());
         let left = self.at_boot.saturating_sub(now);
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,8 +1,7 @@
-//! One request on its way through targets: each attempt, its judgement, and a plain answer.
+//! One admitted request: its attempts at targets, their outcomes, and a response that is not a stream.
 //!
-//! The exchange owns the request's body, its clock and its history of attempts. Whether there is
-//! another attempt is decided in [`retry`]; what a caller is told without one, in
-//! [`refusal`](super::decision::refusal).
+//! The exchange owns the request's body, its deadline and its history of attempts. [`retry`] decides whether there is
+//! another attempt; [`refusal`](super::decision::refusal) decides what the caller is told if there is none.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -32,13 +31,13 @@
 use crate::net::{self, Connection};
 use crate::units::Millis;
 
-/// Longest plain answer, in bytes: it is read completely before it is passed on.
-const ANSWER_MAX: usize = 8 << 20;
-/// What a target is given less than the time that is left, so that its answer is back in time. A few times the way
-/// between two halls.
-const RETURN_TIME: Duration = Duration::from_millis(4);
+/// Maximum size of a response that is not a stream: it is read completely before it is forwarded.
+const RESPONSE_MAX_BYTES: usize = 8 << 20;
+/// Subtracted from the remaining time to get the time limit for a target, so that its response is back in time. A few
+/// times the latency between two halls.
+const RETURN_MARGIN: Duration = Duration::from_millis(4);
 
-/// A request that was let in.
+/// An admitted request.
 pub(super) struct Exchange {
     pub(super) relay: Arc<Relay>,
     pub(super) config: Arc<Config>,
@@ -46,7 +45,7 @@
     pub(super) request: dialect::Request,
     pub(super) started: Instant,
     pub(super) deadline: Deadline,
-    /// Most tokens that one event of its stream stands for.
+    /// Maximum number of tokens that one event of its stream stands for.
     pub(super) event_tokens: u64,
     pub(super) customer: Option<String>,
     pub(super) rank: u8,
@@ -64,8 +63,8 @@
     pub(super) _active: Active,
 }
 
-/// The head of a target's answer; the body is still to come.
-pub(super) struct Answer {
+/// A target's response whose head was received; its body was not.
+pub(super) struct TargetResponse {
     pub(super) attempt: Attempt,
     pub(super) connection: Connection,
     pub(super) parts: http::response::Parts,
@@ -74,44 +73,45 @@
     pub(super) attempted_at: Instant,
 }
 
-/// A plain answer that was read to its end.
-pub(super) struct Complete {
+/// A response that is not a stream, read to its end.
+pub(super) struct CollectedResponse {
     pub(super) attempt: Attempt,
-    pub(super) answer: Buffered,
-    /// The target's, unless it answered with a failure.
+    pub(super) response: BufferedResponse,
+    /// How the target is judged, unless its status is a server error.
     pub(super) outcome: Outcome,
 }
 
-/// A plain answer that can be passed on.
-pub(super) struct Buffered {
+/// A response that is not a stream, ready to be forwarded.
+pub(super) struct BufferedResponse {
     parts: http::response::Parts,
     body: Bytes,
 }
 
-impl Buffered {
-    /// Whether the target failed.
+impl BufferedResponse {
+    /// Whether its status is a server error (5xx).
     pub(super) fn is_server_error(&self) -> bool {
         self.parts.status.is_server_error()
     }
 }
 
-/// An attempt that brought no answer to pass on.
-pub(super) struct Failed {
+/// An attempt without a response that can be forwarded.
+pub(super) struct FailedAttempt {
     pub(super) attempt: Attempt,
     pub(super) failure: Failure,
 }
 
-impl Failed {
-    /// Tells the control thread of a connection that broke off, while the attempt still has its target.
-    fn tell_break(&self) {
+impl FailedAttempt {
+    /// Reports an interrupted attempt to the control thread. Must be called before the attempt ends and loses its
+    /// target.
+    fn report_if_interrupted(&self) {
         if self.failure == Failure::BrokenOff {
             self.attempt.report_interrupted();
         }
     }
 
-    /// Ends the request with it.
+    /// Ends the request with this attempt.
     pub(super) fn end(self) {
-        self.tell_break();
+        self.report_if_interrupted();
         self.attempt.end(self.failure.outcome());
     }
 }
@@ -120,7 +120,7 @@
     /// Starts the first attempt.
     ///
     /// # Errors
-    /// Why the request does not run.
+    /// Why the request cannot run.
     pub(super) async fn begin(&self) -> Result<Attempt, Reason> {
         let wait = admission::grant_wait(self.route.latency_objective);
         let begun = self.relay.controller.begin(self.job(), wait);
@@ -146,8 +146,11 @@
         }
     }
 
-    /// Sends the request to the target of an attempt, and waits for the head of its answer.
-    pub(super) async fn attempt(&mut self, attempt: Attempt) -> Result<Answer, Failed> {
+    /// Sends the request to the target of an attempt and waits for the head of its response.
+    pub(super) async fn attempt(
+        &mut self,
+        attempt: Attempt,
+    ) -> Result<TargetResponse, FailedAttempt> {
         let attempted_at = Instant::now();
         let address = attempt.placement().address;
         let connected = match self.deadline.within(self.relay.connect(address)).await {
@@ -161,7 +164,7 @@
         if let Some(expiry) = self.deadline.expiry() {
             return Err(failed(attempt, Failure::before(expiry)));
         }
-        let request = match self.forward(&attempt) {
+        let request = match self.build_request(&attempt) {
             Ok(request) => request,
             Err(error) => {
                 tracing::error!(event = "forward_unwritable", id = %self.request.id, %error);
@@ -184,7 +187,7 @@
             Ok(head) => head,
             Err(failure) => return Err(failed(attempt, failure)),
         };
-        Ok(Answer {
+        Ok(TargetResponse {
             attempt,
             connection,
             parts,
@@ -222,8 +225,8 @@
             .dialect
             .read_reply(status.as_u16(), &parts.headers);
         let is_ours = reply.id.as_deref() == Some(self.request.id.as_str());
-        // A surplus answer to another request may be of long before, and one of another instance says nothing of the
-        // one that was meant. Some refusals do not name the request.
+        // A surplus response to another request may be old, and a response of another instance says nothing about the
+        // instance that the request was sent to. Some refusals carry no request id.
         let is_refusal = reply.not_run && reply.id.is_none();
         if !reply.wrong_instance && (is_ours || is_refusal) {
             attempt.report_notice(reply.notice);
@@ -248,9 +251,9 @@
         Ok((parts, incoming, reply))
     }
 
-    /// The request as the target of an attempt gets it.
-    fn forward(&self, attempt: &Attempt) -> Result<net::Request, BadForward> {
-        let left = self.deadline.left().saturating_sub(RETURN_TIME);
+    /// Builds the request that is sent to the target of an attempt.
+    fn build_request(&self, attempt: &Attempt) -> Result<net::Request, BadForward> {
+        let left = self.deadline.left().saturating_sub(RETURN_MARGIN);
         let forward = Forward {
             time_limit: Millis(millis(left).max(1)),
             instance: incarnation::id(&attempt.placement().instance),
@@ -280,24 +283,29 @@
     /// Starts another attempt after one that failed.
     ///
     /// # Errors
-    /// What the caller is told where there is none.
-    pub(super) async fn retry(&mut self, failed: Failed) -> Result<Attempt, Reason> {
+    /// What the caller is told if there is none.
+    pub(super) async fn retry(&mut self, failed: FailedAttempt) -> Result<Attempt, Reason> {
         let failure = failed.failure;
         if failure.verdict() == Verdict::MayHaveRun {
             self.verdict = Verdict::MayHaveRun;
         }
         let reason = Reason::of(failure, self.verdict);
-        self.next(failed, reason.word()).await.ok_or(reason)
+        self.next_attempt(failed, reason.word()).await.ok_or(reason)
     }
 
-    /// Starts another attempt after a target's own failure, which can be passed on otherwise.
+    /// Starts another attempt after a server error of the target; without one, that response is forwarded.
     pub(super) async fn retry_server_error(&mut self, attempt: Attempt) -> Option<Attempt> {
         let failure = Failure::ServerError;
-        self.next(failed(attempt, failure), "server_error").await
+        self.next_attempt(failed(attempt, failure), "server_error")
+            .await
     }
 
-    /// Starts another attempt, if the rules, the targets and the retry budget allow one.
-    async fn next(&mut self, failed: Failed, reason: &'static str) -> Option<Attempt> {
+    /// Starts another attempt if the retry rules, the targets and the retry budget allow one.
+    async fn next_attempt(
+        &mut self,
+        failed: FailedAttempt,
+        reason: &'static str,
+    ) -> Option<Attempt> {
         let decision = retry::decide(failed.failure, &self.history());
         let limit = match decision {
             Decision::Retry => "none",
@@ -318,8 +326,8 @@
             failed.end();
             return None;
         }
-        failed.tell_break();
-        let Failed { attempt, failure } = failed;
+        failed.report_if_interrupted();
+        let FailedAttempt { attempt, failure } = failed;
         match attempt.retry(failure.outcome(), failure.charge()).await {
             Ok(next) => {
                 self.relay.shared.metrics.repeats.add(1);
@@ -333,35 +341,38 @@
         }
     }
 
-    /// Reads a plain answer to its end before any of it is passed on, so that one that breaks off is
-    /// not passed on at all.
-    pub(super) async fn collect(&mut self, answer: Answer) -> Result<Complete, Failed> {
-        let Answer {
+    /// Reads a response that is not a stream to its end before any of it is forwarded, so that a truncated response is
+    /// not forwarded at all.
+    pub(super) async fn collect(
+        &mut self,
+        response: TargetResponse,
+    ) -> Result<CollectedResponse, FailedAttempt> {
+        let TargetResponse {
             mut attempt,
             connection,
             parts,
             incoming,
             reply,
             attempted_at,
-        } = answer;
-        let collected = attempt.until_ended(Limited::new(incoming, ANSWER_MAX).collect());
+        } = response;
+        let collected = attempt.until_ended(Limited::new(incoming, RESPONSE_MAX_BYTES).collect());
         let body = match self.deadline.within(collected).await {
             Ok(Some(Ok(body))) => body.to_bytes(),
             Ok(None | Some(Err(_))) => return Err(failed(attempt, Failure::BrokenOff)),
             Err(expiry) => return Err(failed(attempt, Failure::during(expiry))),
         };
         self.relay
-            .keep(attempt.placement().address, connection, &reply);
-        attempt.deliver_some();
-        Ok(Complete {
+            .store_connection(attempt.placement().address, connection, &reply);
+        attempt.note_delivery_started();
+        Ok(CollectedResponse {
             attempt,
-            answer: Buffered { parts, body },
-            outcome: answered(attempted_at),
+            response: BufferedResponse { parts, body },
+            outcome: answered_outcome(attempted_at),
         })
     }
 
-    /// Passes a plain answer on.
-    pub(super) fn pass(&self, answer: Buffered) -> Response<Body> {
+    /// Forwards a response that is not a stream to the caller.
+    pub(super) fn respond(&self, response: BufferedResponse) -> Response<Body> {
         let elapsed = self.started.elapsed();
         let metrics = &self.relay.shared.metrics;
         metrics.answered.add(1);
@@ -369,21 +380,21 @@
         tracing::info!(
             event = "answered",
             id = %self.request.id,
-            status = answer.parts.status.as_u16(),
-            bytes = answer.body.len(),
+            status = response.parts.status.as_u16(),
+            bytes = response.body.len(),
             attempts = self.sent,
             ms = elapsed.as_millis() as u64
         );
-        respond(answer.parts, Body::full(answer.body))
+        caller_response(response.parts, Body::full(response.body))
     }
 }
 
-pub(super) fn failed(attempt: Attempt, failure: Failure) -> Failed {
-    Failed { attempt, failure }
+pub(super) fn failed(attempt: Attempt, failure: Failure) -> FailedAttempt {
+    FailedAttempt { attempt, failure }
 }
 
-/// The outcome of an attempt whose answer has come to its end now.
-pub(super) fn answered(attempted_at: Instant) -> Outcome {
+/// The outcome of an attempt whose response has just been read to its end.
+pub(super) fn answered_outcome(attempted_at: Instant) -> Outcome {
     let took = Millis(millis(attempted_at.elapsed()));
     Outcome::Answered { took }
 }
@@ -392,8 +403,11 @@
     u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A target's answer as the caller gets it.
-pub(super) fn respond(mut parts: http::response::Parts, body: body::Body) -> Response<Body> {
+/// Turns a target's response into the one that the caller gets.
+pub(super) fn caller_response(
+    mut parts: http::response::Parts,
+    body: body::Body,
+) -> Response<Body> {
     headers::strip_response(&mut parts.headers);
     parts.version = http::Version::HTTP_11;
     Response::from_parts(parts, body)
--- a/src/gateway/fingerprint.rs
+++ b/src/gateway/fingerprint.rs
@@ -1,8 +1,8 @@
-//! What tells that a request is the same one again: its customer, method, host, path and body, whatever its id
-//! and its other headers say.
+//! Fingerprints, which identify a request that is sent again: by its customer, method, host, path and body, regardless
+//! of its id and its other headers.
 //!
-//! Callers of one customer cannot have another customer's requests taken for theirs, since the customer is kept
-//! apart; nor can a caller make one that looks like another's, without the fleet's key.
+//! The customer is hashed separately, so callers of one customer cannot produce the fingerprint of another customer's
+//! request. The hashes are seeded with the fleet key, so callers without it cannot construct collisions.
 
 use std::fmt;
 
@@ -14,9 +14,9 @@
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Fingerprint {
-    /// Hash of the customer's name; that of an empty one where nobody pays.
+    /// Hash of the customer's name; of the empty string if the request has no customer.
     pub customer: u64,
-    /// Hash of what is asked.
+    /// Hash of the request's other parts.
     pub request: u64,
 }
 
@@ -26,25 +26,25 @@
     }
 }
 
-/// Makes the fingerprints of one fleet.
+/// Computes the fingerprints of one fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct Hasher {
     seed: u64,
 }
 
 impl Hasher {
-    /// For the fleet with this key.
+    /// Creates the hasher of the fleet with this key.
     pub fn new(fleet_key: &str) -> Self {
         Self {
             seed: xxh3_64(fleet_key.as_bytes()),
         }
     }
 
-    /// The fingerprint of a customer's request, of which `parts` says what is asked.
+    /// Computes the fingerprint of a customer's request from its parts.
     pub fn fingerprint(&self, customer: Option<&str>, parts: &[&[u8]]) -> Fingerprint {
         let mut request = Xxh3::with_seed(self.seed);
         for part in parts {
-            // Lengths keep parts apart that would read alike one after the other.
+            // The lengths distinguish requests whose parts differ but have the same concatenation.
             request.update(&part.len().to_le_bytes());
             request.update(part);
         }
--- a/src/gateway/headers.rs
+++ b/src/gateway/headers.rs
@@ -1,9 +1,9 @@
-//! Headers that concern one connection only, and are not passed on.
+//! Removes hop-by-hop headers, which apply to one connection only and are not forwarded.
 
 use http::{HeaderMap, HeaderName, header};
 
-/// Headers of one connection, beside those that its `Connection` header names.
-const HOP_HEADERS: [HeaderName; 9] = [
+/// Hop-by-hop headers in addition to those that the `Connection` header names.
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::PROXY_AUTHENTICATE,
     header::PROXY_AUTHORIZATION,
@@ -15,20 +15,22 @@
     HeaderName::from_static("proxy-connection"),
 ];
 
-/// Removes from a caller's request what its target must not see. Its body is sent complete.
+/// Removes the headers of a caller's request that must not be forwarded to the target. The body is forwarded as one
+/// buffer, with its own length.
 pub(super) fn strip_request(headers: &mut HeaderMap) {
-    remove_hop_headers(headers);
+    remove_hop_by_hop_headers(headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
 }
 
-/// Removes from a target's answer what its caller must not see. The server frames the body anew.
+/// Removes the headers of a target's response that must not be forwarded to the caller. The server frames the body
+/// anew.
 pub(super) fn strip_response(headers: &mut HeaderMap) {
-    remove_hop_headers(headers);
+    remove_hop_by_hop_headers(headers);
     headers.remove(header::CONTENT_LENGTH);
 }
 
-fn remove_hop_headers(headers: &mut HeaderMap) {
+fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -39,7 +41,7 @@
     for name in named {
         headers.remove(name.as_str());
     }
-    for name in HOP_HEADERS {
+    for name in HOP_BY_HOP_HEADERS {
         headers.remove(name);
     }
 }
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -1,4 +1,4 @@
-//! A request as the control state handles it, and what traffic and control tell each other of it.
+//! A request as the control state sees it, and the data that the traffic and the control thread exchange about it.
 
 use std::net::SocketAddr;
 
@@ -10,36 +10,36 @@
 use crate::ejection::Outcome;
 use crate::units::Tokens;
 
-/// What a request needs.
+/// The requirements of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Job {
-    /// Its id, for logs.
+    /// The request id, for logs.
     pub id: String,
-    /// The services that may run it, with their weights.
+    /// The services that may run the request, with their weights.
     pub services: Vec<(String, f64)>,
-    /// Set for a model request.
+    /// The prompt; set for a model request only.
     pub prompt: Option<Prompt>,
-    /// The same for each try of the request.
+    /// Identity of the request, the same whenever it is sent again.
     pub fingerprint: Fingerprint,
-    /// Who pays, and all that it has prepaid.
+    /// The customer that pays, and its total of prepaid tokens.
     pub payer: Option<(String, Tokens)>,
 }
 
 impl Job {
-    /// The most tokens that it may cost.
+    /// Maximum cost in tokens.
     pub fn max_cost(&self) -> Tokens {
         self.prompt.as_ref().map_or(Tokens::ZERO, Prompt::max_cost)
     }
 }
 
-/// Where an attempt goes.
+/// The target of an attempt.
 #[derive(Clone, Debug)]
 pub struct Placement {
     /// The request.
     pub job: JobKey,
     /// The target.
     pub target: TargetKey,
-    /// The target's instance; another one at the address has to refuse.
+    /// The target's instance; another instance at the same address must refuse the request.
     pub instance: String,
     /// The target's address.
     pub address: SocketAddr,
@@ -47,16 +47,16 @@
     pub ended: CancellationToken,
 }
 
-/// How much of an answer was delivered to its customer. A customer gets nothing but by its router, so
-/// what no router has delivered is not charged, whether or not a target has run the request.
+/// How much of a response was delivered to the customer. A customer gets responses only through a router, so what no
+/// router has delivered is not charged, whether or not a target has run the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
     /// Nothing.
     #[default]
     Nothing,
-    /// The whole answer, of so many tokens; the prompt's are charged as well.
+    /// The complete response, with its number of tokens; the tokens of the prompt are charged as well.
     Counted(Tokens),
-    /// Some of it, of unknown length; the most that the request may cost is charged.
+    /// A part of unknown length; the maximum cost of the request is charged.
     Uncounted,
 }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What is known after a later attempt of the same request has ended too.
+    /// Combines this with the delivery of a later attempt of the same request.
     pub fn then(self, later: Self) -> Self {
         match later {
             Self::Nothing => self,
@@ -82,8 +82,8 @@
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ending {
-    /// How the target is judged by it; `None` where it says nothing about the target.
+    /// How the target is judged by the attempt; `None` if the attempt says nothing about the target.
     pub outcome: Option<Outcome>,
-    /// What was delivered of the answer, over all attempts.
+    /// How much of the response was delivered, over all attempts.
     pub delivery: Delivery,
 }
--- a/src/gateway/key.rs
+++ b/src/gateway/key.rs
@@ -1,9 +1,9 @@
-//! Keys into the control state of one process; none is used again.
+//! Keys into the control state of one process. A key is never reused.
 
-/// The place of a target's incarnation in the registry.
+/// Index of a target's incarnation in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TargetKey(pub usize);
 
-/// A request under way.
+/// Key of a request in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct JobKey(pub u64);
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,4 @@
-//! What all requests of the process share: the control thread, the dialect, the idle connections to
+//! What all requests of the process share: access to the control thread, the dialect, and the idle connections to
 //! targets.
 
 use std::net::SocketAddr;
@@ -13,41 +13,40 @@
 use super::shared::Shared;
 use crate::net::{self, Connection, Pool};
 
-/// Longest wait for a connection to a target. A target in another region answers within
-/// a fraction of it.
-const CONNECT_MAX: Duration = Duration::from_millis(400);
-/// Data that a target's host has not acknowledged for this long fails its connection.
-const UNACKNOWLEDGED_MAX: Duration = Duration::from_millis(900);
-/// How long a connection is idle where the target does not say how long it keeps it.
-const IDLE_DEFAULT: Duration = Duration::from_millis(4_000);
-/// Part of the target's own idle time for which a connection is used, 0 to 1: a request that meets the
-/// target's close on its way may have run.
-const IDLE_USED: f64 = 0.85;
+/// Timeout for connecting to a target. A target in another region accepts within a fraction of it.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
+/// A connection fails if the target's host does not acknowledge data for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(900);
+/// Idle timeout of a connection whose target does not state its own.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(4_000);
+/// Fraction of the target's own idle timeout for which a connection is reused, 0 to 1: if the target closes the
+/// connection while a request is on its way, the request may have run.
+const IDLE_TIMEOUT_SHARE: f64 = 0.85;
 
-/// What all requests share.
+/// Data that all requests share.
 pub struct Relay {
-    /// What the control thread publishes.
+    /// State shared with the control thread.
     pub shared: Arc<Shared>,
-    /// Asks the control thread.
+    /// Sends messages to the control thread.
     pub controller: Controller,
-    /// What the deployment speaks.
+    /// The deployment's dialect.
     pub dialect: Arc<dyn Dialect>,
-    /// Tells which requests are the same one again.
+    /// Computes request fingerprints.
     pub hasher: Hasher,
     /// Idle connections to targets.
     pub pool: Pool,
-    /// The start of the process.
+    /// When the process started.
     pub started: Instant,
 }
 
 impl Relay {
-    /// An idle connection to a target, or a new one; `None` where none comes up in time.
+    /// Returns an idle connection to a target or opens one; `None` if it cannot be opened in time.
     pub(super) async fn connect(&self, address: SocketAddr) -> Option<Connection> {
         if let Some(connection) = self.pool.take(address) {
             return Some(connection);
         }
         self.shared.metrics.connects.add(1);
-        match net::open(address, CONNECT_MAX, UNACKNOWLEDGED_MAX).await {
+        match net::open(address, CONNECT_TIMEOUT, UNACKNOWLEDGED_TIMEOUT).await {
             Ok(connection) => Some(connection),
             Err(error) => {
                 tracing::debug!(event = "connect_failed", %address, %error);
@@ -56,10 +55,15 @@
         }
     }
 
-    /// Keeps a connection whose answer has been read to its end.
-    pub(super) fn keep(&self, address: SocketAddr, connection: Connection, reply: &Reply) {
-        let idle = reply.idle_timeout.map_or(IDLE_DEFAULT, |timeout| {
-            Duration::from_millis(timeout.0).mul_f64(IDLE_USED)
+    /// Returns a connection to the pool once its response was read to the end.
+    pub(super) fn store_connection(
+        &self,
+        address: SocketAddr,
+        connection: Connection,
+        reply: &Reply,
+    ) {
+        let idle = reply.idle_timeout.map_or(DEFAULT_IDLE_TIMEOUT, |timeout| {
+            Duration::from_millis(timeout.0).mul_f64(IDLE_TIMEOUT_SHARE)
         });
         self.pool.put(address, connection, idle);
     }
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -1,4 +1,4 @@
-//! Serves one caller's request from its first byte to its answer.
+//! Handles one caller's request from its head to the response.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,7 +16,7 @@
 use super::decision::retry::Verdict;
 use super::decision::{admission, overload};
 use super::dialect;
-use super::exchange::{Answer, Buffered, Exchange};
+use super::exchange::{BufferedResponse, Exchange, TargetResponse};
 use super::headers;
 use super::relay::Relay;
 use super::reply;
@@ -29,39 +29,40 @@
 /// A caller's connection.
 pub(super) struct Connection {
     reading: net::Reading,
-    /// Whether it was logged that the caller sends headers that are the routers' to set.
-    orders_told: AtomicBool,
+    /// Whether it was logged that the caller sends headers that only routers may set.
+    router_headers_logged: AtomicBool,
 }
 
 impl Connection {
-    /// A connection that was just accepted.
+    /// Creates the state of a new connection.
     pub(super) fn new(reading: net::Reading) -> Self {
         Self {
             reading,
-            orders_told: AtomicBool::new(false),
+            router_headers_logged: AtomicBool::new(false),
         }
     }
 
-    /// Notes headers that are not passed on; logged once a connection, so that a caller that always sends
-    /// them does not fill the log.
-    fn note_orders(&self, id: &str) {
-        if !self.orders_told.swap(true, Ordering::Relaxed) {
+    /// Logs that a request has headers that only routers may set and that are not forwarded. Logs once per connection,
+    /// so that a caller that always sends them does not fill the log.
+    fn log_router_headers(&self, id: &str) {
+        if !self.router_headers_logged.swap(true, Ordering::Relaxed) {
             tracing::warn!(event = "orders_dropped", %id);
         }
     }
 }
 
-/// Notes a caller that leaves before it has the head of an answer: what serves it is then dropped.
-struct Departure<'a> {
+/// Logs and counts a caller that disconnects before it gets the head of a response: the task that handles its request
+/// is dropped then, and this guard with it.
+struct DisconnectGuard<'a> {
     relay: &'a Relay,
     id: &'a str,
     started: Instant,
-    has_answer: bool,
+    has_response: bool,
 }
 
-impl Drop for Departure<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if self.has_answer {
+        if self.has_response {
             return;
         }
         self.relay.shared.metrics.cancelled.add(1);
@@ -70,7 +71,7 @@
     }
 }
 
-/// Answers a caller.
+/// Handles a request and returns the response.
 pub(super) async fn serve(
     relay: &Arc<Relay>,
     incoming: hyper::Request<Incoming>,
@@ -83,36 +84,36 @@
         Ok(request) => request,
         Err(error) => {
             tracing::info!(event = "refused", reason = "bad_header", %error);
-            connection.reading.discard(body, body_max(relay));
+            connection.reading.discard(body, body_max_bytes(relay));
             return reply::refusal(Reason::BadHeader, None, &*relay.dialect, "");
         }
     };
     let id = request.id.clone();
     if request.has_orders {
-        connection.note_orders(&id);
+        connection.log_router_headers(&id);
     }
-    let mut departure = Departure {
+    let mut guard = DisconnectGuard {
         relay,
         id: &id,
         started,
-        has_answer: false,
+        has_response: false,
     };
     let result = match admit(relay, parts, &mut body, request, started).await {
-        Ok(exchange) => run(exchange).await,
+        Ok(exchange) => run_attempts(exchange).await,
         Err(reason) => Err(reason),
     };
-    departure.has_answer = true;
+    guard.has_response = true;
     result.unwrap_or_else(|reason| {
-        connection.reading.discard(body, body_max(relay));
+        connection.reading.discard(body, body_max_bytes(relay));
         refuse(relay, &id, reason, started)
     })
 }
 
-/// Longest body that is let in, in bytes.
-fn body_max(relay: &Relay) -> usize {
+/// Maximum size of a request body, in bytes.
+fn body_max_bytes(relay: &Relay) -> usize {
     let config = relay.shared.config.load();
     let limits = config.as_ref().map(|config| config.limits);
-    // Without a configuration nothing is let in; what is refused has the default bound.
+    // Without a configuration each request is refused; the default limit then applies to the body that is discarded.
     limits.unwrap_or_default().body_bytes
 }
 
@@ -145,7 +146,7 @@
     reply::refusal(reason, retry_after, &*relay.dialect, id)
 }
 
-/// Lets a request in by the configuration in force, and reads its body.
+/// Checks a request against the configuration in force, and reads its body.
 async fn admit(
     relay: &Arc<Relay>,
     parts: http::request::Parts,
@@ -214,7 +215,7 @@
     })
 }
 
-/// The host that a request names: in its target, or else in its header.
+/// The host that a request names: in its request target, or else in the `Host` header.
 fn host(parts: &http::request::Parts) -> &str {
     if let Some(authority) = parts.uri.authority() {
         return authority.as_str();
@@ -223,15 +224,15 @@
     header.and_then(|host| host.to_str().ok()).unwrap_or("")
 }
 
-/// Tries targets until one has answered or the rules end the attempts.
-async fn run(mut exchange: Exchange) -> Result<Response<Body>, Reason> {
+/// Tries targets until one has responded or the rules allow no other attempt.
+async fn run_attempts(mut exchange: Exchange) -> Result<Response<Body>, Reason> {
     let mut attempt = exchange.begin().await?;
-    // A target's own failure, which is passed on if no other target does better.
-    let mut fallback: Option<Buffered> = None;
+    // A target's server error, which is forwarded if no other target responds without one.
+    let mut fallback: Option<BufferedResponse> = None;
     loop {
         let failed = match exchange.attempt(attempt).await {
-            Ok(answer) if is_stream(&exchange, &answer) => {
-                match Stream::start(exchange, answer).await {
+            Ok(response) if is_stream(&exchange, &response) => {
+                match Stream::start(exchange, response).await {
                     Ok(response) => return Ok(response),
                     Err((returned, failed)) => {
                         exchange = *returned;
@@ -239,31 +240,31 @@
                     }
                 }
             }
-            Ok(answer) => match exchange.collect(answer).await {
-                Ok(complete) if !complete.answer.is_server_error() => {
-                    complete.attempt.end(Some(complete.outcome));
-                    return Ok(exchange.pass(complete.answer));
+            Ok(response) => match exchange.collect(response).await {
+                Ok(collected) if !collected.response.is_server_error() => {
+                    collected.attempt.end(Some(collected.outcome));
+                    return Ok(exchange.respond(collected.response));
                 }
-                Ok(complete) => match exchange.retry_server_error(complete.attempt).await {
+                Ok(collected) => match exchange.retry_server_error(collected.attempt).await {
                     Some(next) => {
-                        fallback = Some(complete.answer);
+                        fallback = Some(collected.response);
                         attempt = next;
                         continue;
                     }
-                    None => return Ok(exchange.pass(complete.answer)),
+                    None => return Ok(exchange.respond(collected.response)),
                 },
                 Err(failed) => failed,
             },
             Err(failed) => failed,
         };
-        if let Some(answer) = fallback {
+        if let Some(response) = fallback {
             failed.end();
-            return Ok(exchange.pass(answer));
+            return Ok(exchange.respond(response));
         }
         attempt = exchange.retry(failed).await?;
     }
 }
 
-fn is_stream(exchange: &Exchange, answer: &Answer) -> bool {
-    exchange.route.kind.is_stream() && answer.parts.status.is_success()
+fn is_stream(exchange: &Exchange, response: &TargetResponse) -> bool {
+    exchange.route.kind.is_stream() && response.parts.status.is_success()
 }
--- a/src/gateway/sse.rs
+++ b/src/gateway/sse.rs
@@ -1,40 +1,40 @@
-//! Server-sent events as they pass: cut after complete ones, and counted.
+//! Splits a stream of server-sent events after complete events, and counts them.
 
 use bytes::{Bytes, BytesMut};
 use memchr::memmem;
 
-/// Longest event that has not ended, in bytes; more than this is no event.
-const EVENT_MAX: usize = 1 << 20;
+/// Maximum size of an incomplete event; more bytes than this without an end are not accepted as an event.
+const EVENT_MAX_BYTES: usize = 1 << 20;
 
-/// Cuts a stream after its last complete event.
+/// Splits a stream after its last complete event and buffers the bytes after it.
 #[derive(Debug, Default)]
 pub struct Events {
-    rest: BytesMut,
+    partial: BytesMut,
     count: u64,
     last_id: Option<String>,
 }
 
 impl Events {
-    /// Takes bytes in; returns the complete events that they end.
+    /// Appends bytes; returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
-        self.rest.extend_from_slice(bytes);
+        self.partial.extend_from_slice(bytes);
         let mut end = 0;
-        let mut last = 0;
-        for at in memmem::find_iter(&self.rest, b"\n\n") {
-            last = end;
+        let mut last_start = 0;
+        for at in memmem::find_iter(&self.partial, b"\n\n") {
+            last_start = end;
             end = at + 2;
             self.count += 1;
         }
         if end == 0 {
             return Bytes::new();
         }
-        if let Some(id) = id_of(&self.rest[last..end]) {
+        if let Some(id) = id_of(&self.partial[last_start..end]) {
             self.last_id = Some(id);
         }
-        self.rest.split_to(end).freeze()
+        self.partial.split_to(end).freeze()
     }
 
-    /// Events so far.
+    /// Number of complete events so far.
     pub fn count(&self) -> u64 {
         self.count
     }
@@ -44,24 +44,24 @@
         self.last_id.as_deref()
     }
 
-    /// Whether part of an event is held back.
-    pub fn has_rest(&self) -> bool {
-        !self.rest.is_empty()
+    /// Whether a part of an event is buffered.
+    pub fn has_partial(&self) -> bool {
+        !self.partial.is_empty()
     }
 
-    /// Whether what is held back is too long for an event.
+    /// Whether the buffered part exceeds the maximum size of an event.
     pub fn is_overlong(&self) -> bool {
-        self.rest.len() > EVENT_MAX
+        self.partial.len() > EVENT_MAX_BYTES
     }
 
-    /// Takes what is held back.
-    pub fn take_rest(&mut self) -> Bytes {
-        self.rest.split().freeze()
+    /// Removes and returns the buffered part of an event.
+    pub fn take_partial(&mut self) -> Bytes {
+        self.partial.split().freeze()
     }
 
-    /// Forgets the part of an event that will not be finished.
-    pub fn drop_rest(&mut self) {
-        self.rest.clear();
+    /// Discards the buffered part of an event that will not be completed.
+    pub fn discard_partial(&mut self) {
+        self.partial.clear();
     }
 }
 
@@ -69,7 +69,7 @@
     let line = event
         .split(|byte| *byte == b'\n')
         .find_map(|line| line.strip_prefix(b"id:"))?;
-    // An id that is no text fits in no header; the last one that is stands.
+    // An id that is not UTF-8 cannot be sent in a header; the last valid id stays in use.
     std::str::from_utf8(line)
         .ok()
         .map(|id| id.trim().to_owned())
--- a/src/gateway/stop.rs
+++ b/src/gateway/stop.rs
@@ -1,8 +1,7 @@
-//! How far the stop of a process has come, as all of its threads see it.
+//! Progress of a planned stop, shared by all threads of the process.
 //!
-//! The process takes three steps, each once, in this order, and none back: callers are sent elsewhere, what is
-//! still under way is given up, grants are given back. When each is due is decided in
-//! [`decision::stop`](super::decision::stop).
+//! A stop has three steps, taken once each and in this order: callers are directed to other routers, requests still in
+//! progress are given up, grants are given back. [`decision::stop`](super::decision::stop) decides when each is due.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -12,7 +11,7 @@
 
 use super::decision::stop::{self, Times};
 
-/// The steps that have been taken.
+/// The steps of a stop that were taken.
 #[derive(Debug, Default)]
 pub struct Progress {
     times: OnceLock<Times<Instant>>,
@@ -21,7 +20,7 @@
 }
 
 impl Progress {
-    /// First step: callers are sent elsewhere.
+    /// First step: callers are directed to other routers.
     pub fn begin(&self, times: Times<Instant>) {
         let first = self.times.set(times);
         assert!(first.is_ok(), "a process stops once");
@@ -32,18 +31,18 @@
         self.times.get().is_some()
     }
 
-    /// Whether a request that may take until `deadline` comes too late for the stop to wait for it.
+    /// Whether a request that may take until `deadline` arrives too late for the stop to wait for it.
     pub fn is_too_late(&self, deadline: Instant) -> bool {
         let times = self.times.get();
         times.is_some_and(|times| stop::is_too_late(times, Instant::now(), deadline))
     }
 
-    /// Second step, where the time to stop is over: requests under way are waited for no longer.
+    /// Second step, if the time for the stop has run out: requests in progress are waited for no longer.
     pub fn give_up(&self) {
         self.given_up.cancel();
     }
 
-    /// Cancelled when requests are given up.
+    /// A token that is cancelled when requests in progress are given up.
     pub fn given_up(&self) -> CancellationToken {
         self.given_up.clone()
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -1,8 +1,8 @@
-//! A stream of events on its way from a target to a caller.
+//! Forwards a stream of events from a target to a caller.
 //!
-//! Complete events are passed on as they come. A stream that breaks off is resumed at another target
-//! after its last event, where the rules of [`retry`](super::decision::retry) allow an attempt; the
-//! caller sees the first target's head throughout.
+//! Complete events are forwarded as they arrive. An interrupted stream is resumed at another target after its last
+//! event, if the rules of [`retry`](super::decision::retry) allow another attempt. The caller gets only the head of
+//! the first target's response.
 
 use bytes::Bytes;
 use futures::stream;
@@ -12,71 +12,76 @@
 use tokio::time::Instant;
 
 use super::attempt::Attempt;
-use super::body::{self, Body, Broken};
+use super::body::{self, Body, Truncated};
 use super::deadline::Deadline;
 use super::decision::refusal::Reason;
 use super::decision::retry::Failure;
 use super::dialect::Reply;
-use super::exchange::{Answer, Exchange, Failed, answered, failed, respond};
+use super::exchange::{
+    Exchange, FailedAttempt, TargetResponse, answered_outcome, caller_response, failed,
+};
 use super::sse::Events;
 use crate::net::Connection;
 use crate::units::Tokens;
 
-/// A stream under way. Dropped before its end, its caller has left.
+/// A stream in progress. If it is dropped before its end, its caller has disconnected.
 pub(super) struct Stream {
     exchange: Exchange,
     upstream: Option<Upstream>,
     events: Events,
-    /// The first events, which were waited for before the head was passed on.
-    first: Option<Bytes>,
+    /// The first events, which were awaited before the head was forwarded.
+    first_events: Option<Bytes>,
 }
 
-/// The target's side.
+/// The target's side of a stream.
 struct Upstream {
     attempt: Attempt,
     connection: Connection,
     incoming: Incoming,
     reply: Reply,
     attempted_at: Instant,
-    /// Whether the body's end is marked otherwise than by the end of the connection.
+    /// Whether the body is framed by a length or by chunks, so that the end of the connection does not mark its end.
     is_framed: bool,
 }
 
-/// What a target sends next.
+/// The next item of a target's stream.
 enum Step {
     /// Complete events.
     Events(Bytes),
-    /// The end, with what came after the last complete event.
+    /// The end of the stream, with the bytes after the last complete event.
     End(Bytes),
-    /// It broke off.
-    Broken(Failure),
+    /// The stream was interrupted.
+    Interrupted(Failure),
 }
 
 impl Stream {
-    /// Waits for the first event; until then another target may be tried.
+    /// Waits for the first event. If the attempt fails before it, the caller of this function may try another target.
     ///
     /// # Errors
     /// The exchange, and the attempt that failed.
     pub(super) async fn start(
         exchange: Exchange,
-        answer: Answer,
-    ) -> Result<Response<Body>, (Box<Exchange>, Failed)> {
-        let parts = answer.parts.clone();
-        let mut upstream = Upstream::new(answer);
+        response: TargetResponse,
+    ) -> Result<Response<Body>, (Box<Exchange>, FailedAttempt)> {
+        let parts = response.parts.clone();
+        let mut upstream = Upstream::new(response);
         let mut events = Events::default();
-        let first = match upstream.next(&mut events, &exchange.deadline).await {
+        let first_events = match upstream.next(&mut events, &exchange.deadline).await {
             Step::Events(bytes) => bytes,
-            Step::End(rest) => {
+            Step::End(partial) => {
                 let mut stream = Self {
                     exchange,
                     upstream: Some(upstream),
                     events,
-                    first: None,
+                    first_events: None,
                 };
                 stream.finish();
-                return Ok(respond(parts, body::stream(stream::iter([Ok(rest)]))));
+                return Ok(caller_response(
+                    parts,
+                    body::stream(stream::iter([Ok(partial)])),
+                ));
             }
-            Step::Broken(failure) => {
+            Step::Interrupted(failure) => {
                 return Err((Box::new(exchange), failed(upstream.attempt, failure)));
             }
         };
@@ -88,23 +93,23 @@
             instance = %upstream.attempt.placement().instance,
             ms = elapsed.as_millis() as u64
         );
-        upstream.attempt.deliver_some();
+        upstream.attempt.note_delivery_started();
         let stream = Self {
             exchange,
             upstream: Some(upstream),
             events,
-            first: Some(first),
+            first_events: Some(first_events),
         };
         let body = stream::unfold(stream, |mut stream| async move {
             let item = stream.next().await?;
             Some((item, stream))
         });
-        Ok(respond(parts, body::stream(body)))
+        Ok(caller_response(parts, body::stream(body)))
     }
 
-    async fn next(&mut self) -> Option<Result<Bytes, Broken>> {
-        if let Some(first) = self.first.take() {
-            return Some(Ok(first));
+    async fn next(&mut self) -> Option<Result<Bytes, Truncated>> {
+        if let Some(first_events) = self.first_events.take() {
+            return Some(Ok(first_events));
         }
         loop {
             let upstream = self.upstream.as_mut()?;
@@ -113,32 +118,32 @@
                 .await
             {
                 Step::Events(bytes) => return Some(Ok(bytes)),
-                Step::End(rest) => {
+                Step::End(partial) => {
                     self.finish();
-                    return (!rest.is_empty()).then_some(Ok(rest));
+                    return (!partial.is_empty()).then_some(Ok(partial));
                 }
-                Step::Broken(failure) => {
+                Step::Interrupted(failure) => {
                     if !self.resume(failure).await {
-                        return Some(Err(Broken));
+                        return Some(Err(Truncated));
                     }
                 }
             }
         }
     }
 
-    /// Resumes the stream at another target after its last event; whether that worked.
+    /// Resumes the stream at another target after its last event; returns whether it was resumed.
     async fn resume(&mut self, failure: Failure) -> bool {
         let Some(upstream) = self.upstream.take() else {
             return false;
         };
         let attempt = upstream.close();
-        self.events.drop_rest();
+        self.events.discard_partial();
         match self.reopen(failed(attempt, failure)).await {
-            Ok(answer) => {
+            Ok(response) => {
                 self.exchange.relay.shared.metrics.resumed.add(1);
                 let after = self.events.last_id();
                 tracing::info!(event = "stream_resumed", id = %self.exchange.request.id, ?after);
-                self.upstream = Some(Upstream::new(answer));
+                self.upstream = Some(Upstream::new(response));
                 true
             }
             Err(reason) => {
@@ -156,16 +161,16 @@
         }
     }
 
-    /// Asks further targets for the rest of the stream until one answers.
-    async fn reopen(&mut self, failed_attempt: Failed) -> Result<Answer, Reason> {
+    /// Tries further targets for the rest of the stream until one responds with success.
+    async fn reopen(&mut self, failed_attempt: FailedAttempt) -> Result<TargetResponse, Reason> {
         let mut attempt = self.exchange.retry(failed_attempt).await?;
         if let Some(last) = self.events.last_id() {
             self.exchange.request.last_event = Some(last.to_owned());
         }
         loop {
             let failed_attempt = match self.exchange.attempt(attempt).await {
-                Ok(answer) if answer.parts.status.is_success() => return Ok(answer),
-                Ok(answer) => failed(answer.attempt, Failure::BrokenOff),
+                Ok(response) if response.parts.status.is_success() => return Ok(response),
+                Ok(response) => failed(response.attempt, Failure::BrokenOff),
                 Err(failed_attempt) => failed_attempt,
             };
             attempt = self.exchange.retry(failed_attempt).await?;
@@ -188,12 +193,12 @@
         );
         let address = upstream.attempt.placement().address;
         let tokens = Tokens(self.events.count() * exchange.event_tokens);
-        upstream.attempt.deliver_all(tokens);
-        let outcome = answered(upstream.attempted_at);
+        upstream.attempt.note_delivered(tokens);
+        let outcome = answered_outcome(upstream.attempted_at);
         upstream.attempt.end(Some(outcome));
         if upstream.is_framed {
             let relay = &exchange.relay;
-            relay.keep(address, upstream.connection, &upstream.reply);
+            relay.store_connection(address, upstream.connection, &upstream.reply);
         }
     }
 }
@@ -213,21 +218,21 @@
 }
 
 impl Upstream {
-    fn new(answer: Answer) -> Self {
-        let headers = &answer.parts.headers;
+    fn new(response: TargetResponse) -> Self {
+        let headers = &response.parts.headers;
         let is_framed = headers.contains_key(header::CONTENT_LENGTH)
             || headers.contains_key(header::TRANSFER_ENCODING);
         Self {
-            attempt: answer.attempt,
-            connection: answer.connection,
-            incoming: answer.incoming,
-            reply: answer.reply,
-            attempted_at: answer.attempted_at,
+            attempt: response.attempt,
+            connection: response.connection,
+            incoming: response.incoming,
+            reply: response.reply,
+            attempted_at: response.attempted_at,
             is_framed,
         }
     }
 
-    /// Closes the connection, so that the target stops before another one goes on.
+    /// Closes the connection, so that this target stops before another one resumes the stream.
     fn close(self) -> Attempt {
         drop(self.incoming);
         drop(self.connection);
@@ -238,8 +243,8 @@
         loop {
             let frame = self.attempt.until_ended(self.incoming.frame());
             let frame = match deadline.within(frame).await {
-                Err(expiry) => return Step::Broken(Failure::during(expiry)),
-                Ok(None | Some(Some(Err(_)))) => return Step::Broken(Failure::BrokenOff),
+                Err(expiry) => return Step::Interrupted(Failure::during(expiry)),
+                Ok(None | Some(Some(Err(_)))) => return Step::Interrupted(Failure::BrokenOff),
                 Ok(Some(None)) => return self.end(events),
                 Ok(Some(Some(Ok(frame)))) => frame,
             };
@@ -248,7 +253,7 @@
             };
             let complete = events.push(&data);
             if events.is_overlong() {
-                return Step::Broken(Failure::BrokenOff);
+                return Step::Interrupted(Failure::BrokenOff);
             }
             if !complete.is_empty() {
                 return Step::Events(complete);
@@ -256,11 +261,11 @@
         }
     }
 
-    /// An end in the midst of an event is none, unless the target marked it as one.
+    /// Handles the end of the body. An end within an event counts as an interruption unless the body is framed.
     fn end(&self, events: &mut Events) -> Step {
-        if events.has_rest() && !self.is_framed {
-            return Step::Broken(Failure::BrokenOff);
+        if events.has_partial() && !self.is_framed {
+            return Step::Interrupted(Failure::BrokenOff);
         }
-        Step::End(events.take_rest())
+        Step::End(events.take_partial())
     }
 }
--- a/src/gateway/upload.rs
+++ b/src/gateway/upload.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests, read completely.
+//! Reads request bodies completely.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
@@ -10,7 +10,7 @@
 /// Reads a body of at most `max` bytes.
 ///
 /// # Errors
-/// Why the request is refused; at once where the caller says that the body is longer.
+/// Why the request is refused; immediately if the declared length exceeds `max`.
 pub(super) async fn read(
     body: &mut Incoming,
     max: usize,
--- a/tests/event_cut.rs
+++ b/tests/event_cut.rs
@@ -27,7 +27,7 @@
         assert_eq!(passed, whole.as_bytes());
         assert_eq!(events.count(), 20);
         assert_eq!(events.last_id(), Some("20"));
-        assert!(!events.has_rest());
+        assert!(!events.has_partial());
     }
 }
 
@@ -36,8 +36,8 @@
     let mut events = Events::default();
     let out = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(&out[..], b"id: 1\ndata: a\n\n");
-    assert!(events.has_rest());
-    events.drop_rest();
+    assert!(events.has_partial());
+    events.discard_partial();
     let out = events.push(b"id: 2\ndata: b\n\n");
     assert_eq!(&out[..], b"id: 2\ndata: b\n\n");
     assert_eq!(events.last_id(), Some("2"));
