--- a/tests/early_key.rs
+++ b/tests/early_key.rs
@@ -1,5 +1,5 @@
-//! A router that has just been started has not read who its customers are. It is not to tell a proper
-//! caller that its key is wrong, nor, by that refusal, that a request has not run which has.
+//! A router that has just started and has not read its configuration yet must not refuse a valid key as wrong. That
+//! refusal would also state that a request has not run which has run before the restart.
 
 mod common;
 
@@ -19,7 +19,7 @@
         area.send(Method::POST, to, CHAT, &key("kiosks"), &named, &body)
     };
     assert_eq!(ask(&area).events().last(), Some(&"[DONE]"));
-    // It stays without its configuration as long as the log is out.
+    // The router cannot read its configuration while the log is down.
     area.faults(&area.log, &serde_json::json!({"down": true}));
     area.restart_router(0);
     let answer = ask(&area);
--- a/tests/event_cut.rs
+++ b/tests/event_cut.rs
@@ -1,4 +1,4 @@
-//! Streams are cut after whole events, however their bytes arrive.
+//! Streams are split after complete events, however their bytes are divided into chunks.
 
 use lanedeck::gateway::sse::Events;
 use rand::rngs::StdRng;
@@ -19,7 +19,7 @@
             let out = events.push(&rest[..len]);
             assert!(
                 out.is_empty() || out.ends_with(b"\n\n"),
-                "whole events only"
+                "complete events only"
             );
             passed.extend_from_slice(&out);
             rest = &rest[len..];
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn half_an_event() {
+fn incomplete_event() {
     let mut events = Events::default();
     let out = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(&out[..], b"id: 1\ndata: a\n\n");
--- a/tests/gateway_path.rs
+++ b/tests/gateway_path.rs
@@ -1,23 +1,23 @@
-//! A gateway between callers and runners: what is passed on, and what is refused.
+//! End-to-end tests of one gateway between callers and targets: what it forwards, and what it refuses.
 
 mod deployment;
 
 use deployment::runner::{EVENTS, Mode, Runner};
 use deployment::{Ask, CUSTOMER, Deployment, KEY, addresses, ask, config};
 
-const PLENTY: u64 = 1_000_000;
+const PREPAID_TOKENS: u64 = 1_000_000;
 
-async fn one() -> (Deployment, Runner, Runner) {
+async fn deployment_with_one_gateway() -> (Deployment, Runner, Runner) {
     let app = Runner::start("i-app").await;
     let engine = Runner::start("i-engine").await;
     let runners = [("app", &app), ("engine", &engine)];
-    let deployment = Deployment::start(1, &config(1, PLENTY), &runners).await;
+    let deployment = Deployment::start(1, &config(1, PREPAID_TOKENS), &runners).await;
     (deployment, app, engine)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn plain_request() {
-    let (deployment, app, _) = one().await;
+    let (deployment, app, _) = deployment_with_one_gateway().await;
     let front = deployment.gateways[0].front;
     let request = Ask::new("r1", "/once/buy?x=1%202")
         .post("a body")
@@ -37,14 +37,18 @@
     assert_eq!(arrival.header("x-other"), "kept");
     assert_eq!(arrival.header("x-expect-instance"), "i-app");
     assert_eq!(arrival.header("x-tenant"), CUSTOMER);
-    assert_eq!(arrival.header("authorization"), "", "the key is not shown");
+    assert_eq!(
+        arrival.header("authorization"),
+        "",
+        "the key is not forwarded"
+    );
     let left: u64 = arrival.header("x-deadline-ms").parse().unwrap();
-    assert!(left <= 4_000, "no more than the route's time: {left}");
+    assert!(left <= 4_000, "at most the route's time limit: {left}");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn forged_headers() {
-    let (deployment, app, _) = one().await;
+    let (deployment, app, _) = deployment_with_one_gateway().await;
     let request = Ask::new("r1", "/often/x")
         .with("x-tenant", "somebody")
         .with("x-expect-instance", "i-other");
@@ -55,12 +59,12 @@
     assert_eq!(arrivals[0].header("x-expect-instance"), "i-app");
 }
 
-/// What callers send of a router's orders to targets reaches none of them.
+/// Headers that only routers may set are not forwarded when a caller sends them.
 #[tokio::test(flavor = "multi_thread")]
 async fn forged_orders() {
-    let (deployment, app, engine) = one().await;
+    let (deployment, app, engine) = deployment_with_one_gateway().await;
     let front = deployment.gateways[0].front;
-    let orders = [
+    let router_headers = [
         ("x-kv-hold", "h1"),
         ("x-pin-ms", "4000"),
         ("x-kv-backup", "10.0.0.1:80"),
@@ -73,22 +77,26 @@
         Ask::new("r1", "/often/x"),
         Ask::talk("s1", "/talk/x", 100, 50),
     ] {
-        for (name, value) in orders {
+        for (name, value) in router_headers {
             request = request.with(name, value);
         }
         assert_eq!(ask(front, &request).await.status, 200);
     }
     for arrival in [&app.arrivals()[0], &engine.arrivals()[0]] {
-        for (name, forged) in orders {
-            assert_ne!(arrival.header(name), forged, "{name} is not the caller's");
+        for (name, forged) in router_headers {
+            assert_ne!(
+                arrival.header(name),
+                forged,
+                "{name} is not taken from the caller"
+            );
         }
     }
 }
 
-/// A request that says twice what it is or costs is not read one way here and another way at a target.
+/// A request with a repeated header is refused, since gateway and target could each read another one of the values.
 #[tokio::test(flavor = "multi_thread")]
 async fn doubled_headers() {
-    let (deployment, app, engine) = one().await;
+    let (deployment, app, engine) = deployment_with_one_gateway().await;
     let front = deployment.gateways[0].front;
     for (name, second) in [
         ("x-attempt-id", "other"),
@@ -107,7 +115,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn streamed_answer() {
-    let (deployment, _, engine) = one().await;
+    let (deployment, _, engine) = deployment_with_one_gateway().await;
     let request = Ask::talk("s1", "/talk/x", 100, 50);
     let answer = ask(deployment.gateways[0].front, &request).await;
     assert_eq!(answer.status, 200);
@@ -119,7 +127,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_input() {
-    let (deployment, app, engine) = one().await;
+    let (deployment, app, engine) = deployment_with_one_gateway().await;
     let front = deployment.gateways[0].front;
     let cases = [
         (Ask::new("r", "/once/x").without("x-attempt-id"), 400),
@@ -159,7 +167,7 @@
     let deployment = Deployment::start(2, &config(1, 1_000), &runners).await;
     let served = std::cell::Cell::new(0);
     let mut number = 0;
-    // A gateway says so only once it knows what the other one has spent; until then it says 503.
+    // A gateway responds with 402 only once it knows what the other gateway has spent; until then with 503.
     deployment::until(|| {
         number += 1;
         let gateway = &deployment.gateways[number % 2];
@@ -183,18 +191,18 @@
         served * each <= 1_000,
         "spent more than was prepaid: {served}"
     );
-    assert!(served >= 8, "what is left holds more: {served}");
+    assert!(served >= 8, "refused although tokens were left: {served}");
     let plain = Ask::new("p", "/often/x");
     assert_eq!(
         ask(deployment.gateways[0].front, &plain).await.status,
         503,
-        "no such target"
+        "the service has no target"
     );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn directory_and_metrics() {
-    let (mut deployment, _, _) = one().await;
+    let (mut deployment, _, _) = deployment_with_one_gateway().await;
     deployment.add("g1", &[]).await;
     deployment.wait_ready().await;
     deployment.wait_acquainted().await;
@@ -203,11 +211,11 @@
         .iter()
         .map(|g| g.front.to_string())
         .collect();
-    let mut told = addresses(&deployment.gateways[0]).await;
-    told.sort();
+    let mut listed = addresses(&deployment.gateways[0]).await;
+    listed.sort();
     let mut all = all;
     all.sort();
-    assert_eq!(told, all);
+    assert_eq!(listed, all);
     ask(deployment.gateways[0].front, &Ask::new("r", "/often/x")).await;
     let text = ask(deployment.gateways[0].metrics, &Ask::get("/metrics"))
         .await
@@ -222,7 +230,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn start_without_store() {
     let app = Runner::start("i-app").await;
-    let mut deployment = Deployment::start(0, &config(1, PLENTY), &[("app", &app)]).await;
+    let mut deployment = Deployment::start(0, &config(1, PREPAID_TOKENS), &[("app", &app)]).await;
     deployment.add("g0", &[]).await;
     let gateway = &deployment.gateways[0];
     deployment
--- a/tests/short_tokens.rs
+++ b/tests/short_tokens.rs
@@ -1,4 +1,5 @@
-//! Requests whose tokens nobody can give are refused when that is known, and not when a wait is over.
+//! Requests for tokens that neither the store nor another router can provide are refused as soon as that is known, not
+//! only when the maximum wait is over.
 
 mod deployment;
 
@@ -7,28 +8,28 @@
 use deployment::{Ask, Deployment, ask, config};
 use serde_json::Value;
 
-const PREPAID: u64 = 1_000_000;
-const MORE_THAN_GRANTED: u64 = 600_000;
+const PREPAID_TOKENS: u64 = 1_000_000;
+const TOKENS_BEYOND_GRANT: u64 = 600_000;
 
-/// A configuration in which the wait for tokens is longer than any caller's time.
-fn patient() -> Value {
-    let mut patient = config(1, PREPAID);
-    for route in patient["routes"].as_array_mut().unwrap() {
+/// A configuration in which the maximum wait for tokens is longer than any caller's time limit.
+fn config_with_long_wait() -> Value {
+    let mut config = config(1, PREPAID_TOKENS);
+    for route in config["routes"].as_array_mut().unwrap() {
         route["goalMs"] = 1_000_000.into();
     }
-    patient
+    config
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn all_asked() {
     let engine = Runner::start("i-e").await;
-    let deployment = Deployment::start(2, &patient(), &[("engine", &engine)]).await;
+    let deployment = Deployment::start(2, &config_with_long_wait(), &[("engine", &engine)]).await;
     deployment.wait_acquainted().await;
     for gateway in &deployment.gateways {
         deployment.store.set_fault(gateway.store, Fault::NoGrants);
     }
     for number in 0..5 {
-        let request = Ask::talk(&format!("r{number}"), "/talk/x", MORE_THAN_GRANTED, 50);
+        let request = Ask::talk(&format!("r{number}"), "/talk/x", TOKENS_BEYOND_GRANT, 50);
         let answer = ask(deployment.gateways[0].front, &request).await;
         assert_eq!(answer.status, 503);
         assert!(answer.body.contains("budget_short"), "{}", answer.body);
@@ -40,16 +41,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn many_at_once() {
     let engine = Runner::start("i-e").await;
-    let deployment = Deployment::start(2, &patient(), &[("engine", &engine)]).await;
+    let deployment = Deployment::start(2, &config_with_long_wait(), &[("engine", &engine)]).await;
     deployment.wait_acquainted().await;
     for gateway in &deployment.gateways {
         deployment.store.set_fault(gateway.store, Fault::NoGrants);
     }
     let front = deployment.gateways[0].front;
     let asked = (0..40).map(|number| {
-        let request = Ask::talk(&format!("r{number}"), "/talk/x", MORE_THAN_GRANTED, 50);
+        let request = Ask::talk(&format!("r{number}"), "/talk/x", TOKENS_BEYOND_GRANT, 50);
         tokio::spawn(async move {
-            // They come in the midst of each other's questions.
+            // Each arrives while the router still asks for the tokens of the others.
             tokio::time::sleep(std::time::Duration::from_millis(number)).await;
             ask(front, &request).await
         })
--- a/tests/untaken_attempt.rs
+++ b/tests/untaken_attempt.rs
@@ -1,7 +1,7 @@
-//! Callers that leave while the control thread answers them.
+//! Callers that disconnect while the control thread replies to their request.
 //!
-//! The answer reserves tokens and counts the request at a target. One that was sent and never taken kept both
-//! for as long as the process ran.
+//! The reply reserves tokens and counts the request at a target. Guards against a reply that is sent but never received
+//! and keeps both for as long as the process runs.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -36,38 +36,44 @@
     }
 }
 
-/// Where the answer goes that the control thread was asked for.
-fn asked(messages: &mut mpsc::UnboundedReceiver<Message>) -> ReplySender {
+/// Receives a `Begin` message and returns its reply sender.
+fn receive_begin(messages: &mut mpsc::UnboundedReceiver<Message>) -> ReplySender {
     match messages.try_recv() {
         Ok(Message::Begin { reply, .. }) => reply,
-        other => panic!("the control thread is asked, not told {other:?}"),
+        other => panic!("expected a Begin message, got {other:?}"),
     }
 }
 
 #[test]
-fn answered_and_gone() {
+fn caller_disconnects_after_reply() {
     let (sender, mut messages) = mpsc::unbounded_channel();
     let controller = Controller::new(sender);
     let mut begin = Box::pin(controller.begin(job(), Duration::ZERO));
     assert!(begin.as_mut().now_or_never().is_none());
-    let reply = asked(&mut messages);
+    let reply = receive_begin(&mut messages);
     reply.send(Ok(placement())).unwrap();
-    // The caller leaves before its task has run again.
+    // The caller disconnects before its task runs again.
     drop(begin);
     assert!(
         matches!(messages.try_recv(), Ok(Message::End { job: JOB, .. })),
-        "the attempt ends"
+        "dropping the future ends the attempt"
     );
 }
 
 #[test]
-fn gone_before_the_answer() {
+fn caller_disconnects_before_reply() {
     let (sender, mut messages) = mpsc::unbounded_channel();
     let controller = Controller::new(sender);
     let mut begin = Box::pin(controller.begin(job(), Duration::ZERO));
     assert!(begin.as_mut().now_or_never().is_none());
-    let reply = asked(&mut messages);
+    let reply = receive_begin(&mut messages);
     drop(begin);
-    assert!(reply.send(Ok(placement())).is_err(), "it is told so");
-    assert!(messages.try_recv().is_err(), "and ends it itself");
+    assert!(
+        reply.send(Ok(placement())).is_err(),
+        "the control thread sees that the caller has disconnected"
+    );
+    assert!(
+        messages.try_recv().is_err(),
+        "no message is sent: the control thread ends the attempt itself"
+    );
 }
