--- a/src/gateway/control/mod.rs
+++ b/src/gateway/control/mod.rs
@@ -31,7 +31,7 @@
 
 use self::context::Control;
 use self::waiting::{WaitingRequest, answer};
-use super::attempt::{Message, Reply};
+use super::attempt::{Message, ReplySender};
 use super::decision::admission::{self, MissingTokens, Source};
 use super::decision::refusal::Refusal;
 use super::dialect::Dialect;
@@ -165,11 +165,14 @@
             let next = state.retry(now, job, ending, charge);
             answer(&mut state, now, reply, next);
         }
-        Message::Heard { job, notice } => notices::note_from_target(control, job, &notice),
-        Message::Answered { job, load } => control.state.borrow_mut().answered(now, job, load),
-        Message::BrokenOff { job } => quarantine::broken_off(control, job),
+        Message::Notice { job, notice } => notices::note_from_target(control, job, &notice),
+        Message::ResponseStarted { job, load } => control
+            .state
+            .borrow_mut()
+            .note_response_started(now, job, load),
+        Message::Interrupted { job } => quarantine::handle_interrupted(control, job),
         Message::End { job, ending } => control.state.borrow_mut().end(now, job, ending),
-        Message::Leave => {
+        Message::Drain => {
             control.state.borrow_mut().members.me.is_ready = false;
             control.shared.entry_changed.notify_one();
             control.publish_caller_addresses();
@@ -186,7 +189,7 @@
     }
 }
 
-fn begin(control: &Rc<Control>, job: Job, wait: Duration, reply: Reply) {
+fn begin(control: &Rc<Control>, job: Job, wait: Duration, reply: ReplySender) {
     let now = control.now();
     let mut state = control.state.borrow_mut();
     let result = state.begin(now, job.clone());
@@ -208,7 +211,7 @@
 }
 
 /// Queues a request for a grant or a loan and asks for one; refuses it where there is nobody to ask.
-fn wait_for_grant(control: &Rc<Control>, job: Job, wait: Duration, reply: Reply) {
+fn wait_for_grant(control: &Rc<Control>, job: Job, wait: Duration, reply: ReplySender) {
     let Some((customer, _)) = job.payer.clone() else {
         return;
     };
--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::retry::{Failure, Verdict};
-use crate::gateway::deadline::Over;
+use crate::gateway::deadline::Expiry;
 use crate::units::{Millis, Tokens};
 
 /// Retry delay while there is no configuration: one read of the store provides it.
@@ -143,8 +143,8 @@
 
 impl Reason {
     /// The reason for a request whose deadline, or that of a shutdown, passed before anything was sent.
-    pub(in crate::gateway) fn expired_before_send(over: Over) -> Self {
-        Self::of(Failure::expired_before_send(over), Verdict::NotRun)
+    pub(in crate::gateway) fn expired_before_send(expiry: Expiry) -> Self {
+        Self::of(Failure::expired_before_send(expiry), Verdict::NotRun)
     }
 
     /// The reason for a request that is given up after a failed attempt. `verdict` covers all of its attempts: once one
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -7,7 +7,7 @@
 use std::collections::VecDeque;
 
 use crate::ejection::Outcome;
-use crate::gateway::deadline::Over;
+use crate::gateway::deadline::Expiry;
 use crate::gateway::route::Kind;
 use crate::units::Millis;
 
@@ -69,18 +69,18 @@
 
 impl Failure {
     /// The failure of an attempt whose deadline, or that of a shutdown, passed before anything was sent.
-    pub(in crate::gateway) fn expired_before_send(over: Over) -> Self {
-        match over {
-            Over::Late => Self::Late,
-            Over::Stop => Self::Stopping,
+    pub(in crate::gateway) fn expired_before_send(expiry: Expiry) -> Self {
+        match expiry {
+            Expiry::Timeout => Self::Late,
+            Expiry::Stop => Self::Stopping,
         }
     }
 
     /// The failure of an attempt whose deadline, or that of a shutdown, passed while the target was processing it.
-    pub(in crate::gateway) fn expired_after_send(over: Over) -> Self {
-        match over {
-            Over::Late => Self::TimedOut,
-            Over::Stop => Self::Cut,
+    pub(in crate::gateway) fn expired_after_send(expiry: Expiry) -> Self {
+        match expiry {
+            Expiry::Timeout => Self::TimedOut,
+            Expiry::Stop => Self::Cut,
         }
     }
 
--- a/tests/event_cut.rs
+++ b/tests/event_cut.rs
@@ -1,4 +1,4 @@
-//! Streams are cut after whole events, however their bytes arrive.
+//! Streams are split after complete events, however their bytes are divided into chunks.
 
 use lanedeck::gateway::sse::Events;
 use rand::rngs::StdRng;
@@ -19,7 +19,7 @@
             let out = events.push(&rest[..len]);
             assert!(
                 out.is_empty() || out.ends_with(b"\n\n"),
-                "whole events only"
+                "complete events only"
             );
             passed.extend_from_slice(&out);
             rest = &rest[len..];
@@ -27,17 +27,17 @@
         assert_eq!(passed, whole.as_bytes());
         assert_eq!(events.count(), 20);
         assert_eq!(events.last_id(), Some("20"));
-        assert!(!events.has_rest());
+        assert!(!events.has_partial());
     }
 }
 
 #[test]
-fn half_an_event() {
+fn incomplete_event() {
     let mut events = Events::default();
     let out = events.push(b"id: 1\ndata: a\n\nid: 2\nda");
     assert_eq!(&out[..], b"id: 1\ndata: a\n\n");
-    assert!(events.has_rest());
-    events.drop_rest();
+    assert!(events.has_partial());
+    events.discard_partial();
     let out = events.push(b"id: 2\ndata: b\n\n");
     assert_eq!(&out[..], b"id: 2\ndata: b\n\n");
     assert_eq!(events.last_id(), Some("2"));
--- a/tests/target_return.rs
+++ b/tests/target_return.rs
@@ -35,14 +35,14 @@
 fn names_of_incarnations() {
     let name = incarnation::name("i-1", Some(Millis(17)));
     assert_eq!(
-        (incarnation::id(&name), incarnation::born(&name)),
+        (incarnation::id(&name), incarnation::start_time(&name)),
         ("i-1", Some(Millis(17)))
     );
     let without_start = incarnation::name("i-1", None);
     assert_eq!(
         (
             incarnation::id(&without_start),
-            incarnation::born(&without_start)
+            incarnation::start_time(&without_start)
         ),
         ("i-1", None)
     );
