--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -1,6 +1,6 @@
 //! Arrivals: whose id it is, whether it may be taken on, and where it waits.
 
-use super::decision::refusal::{self, Standing};
+use super::decision::refusal::{self, RunEvidence};
 use super::decision::takeover;
 use super::job::{Job, Stage};
 use super::state::Asked;
@@ -47,12 +47,12 @@
 
     /// Refuses a request that has no job yet.
     fn turn_away(&mut self, ticket: Ticket, own: bool, reason: Reason) {
-        let standing = Standing {
+        let evidence = RunEvidence {
             is_own: own,
             may_have_run: false,
-            is_sure: self.is_sure(),
+            is_provably_open: self.is_sure(),
         };
-        let verdict = if refusal::is_certain(standing) {
+        let verdict = if refusal::is_known_not_run(evidence) {
             self.not_run(reason)
         } else {
             Verdict::MayHaveRun { reason }
@@ -199,12 +199,12 @@
     /// else can have been given it: a router that its witness may have closed by now cannot speak
     /// for its own ids, nor for what it had under an earlier incarnation.
     pub(super) fn refusal(&mut self, job: &Job, reason: Reason) -> Verdict {
-        let standing = Standing {
+        let evidence = RunEvidence {
             is_own: job.holder == self.incarnation() && job.stage != Stage::Judged,
             may_have_run: job.doubted,
-            is_sure: self.is_sure(),
+            is_provably_open: self.is_sure(),
         };
-        if refusal::is_certain(standing) {
+        if refusal::is_known_not_run(evidence) {
             self.not_run(reason)
         } else {
             Verdict::MayHaveRun { reason }
--- a/src/router/control/decision/grant.rs
+++ b/src/router/control/decision/grant.rs
@@ -1,50 +1,55 @@
-//! What becomes of a request whose router lacks the tokens to pay for it.
+//! Decides whether a request that lacks tokens waits for a grant or is refused.
 
 use crate::router::request::Reason;
 use crate::units::{Millis, Tokens};
 
-/// Longest wait for others to give back what lies idle with them.
+/// Longest time that a request waits for other routers to return tokens that they hold unused.
 const RECALL_WAIT: Millis = Millis(1_500);
 
-/// What is lacking, and what the ledger says.
+/// The tokens that a request lacks, and the state of its budget in the ledger.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage {
-    /// Tokens that the request lacks here.
+    /// Tokens that the request needs beyond what this router holds.
     pub short: Tokens,
-    /// Tokens of the budget that nobody holds.
-    pub left: Tokens,
-    /// Tokens that routers hold.
+    /// Tokens of the budget that no router holds.
+    pub unallotted: Tokens,
+    /// Tokens that routers hold in their grants.
     pub held: Tokens,
-    /// Whether a smaller budget still waits for returns, so that what comes back is not granted.
-    pub is_owed: bool,
-    /// Whether the log does not answer.
+    /// Whether the budget was reduced and routers have yet to return the excess, so that returned tokens
+    /// are not granted again.
+    pub is_reduction_pending: bool,
+    /// Whether the log is unavailable.
     pub is_log_out: bool,
-    /// How long the request has lacked them.
+    /// How long the request has lacked tokens.
     pub waited: Millis,
 }
 
-/// What follows.
+/// What to do about a shortage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The ledger is asked for a grant, and the request waits.
-    Ask,
-    /// The request is refused now.
+    /// Request a grant from the ledger; the request waits for it.
+    RequestGrant,
+    /// Refuse the request now.
     Refuse(Reason),
 }
 
-/// Decides on a shortage.
+/// Decides whether a request that lacks tokens waits for a grant.
 pub fn decide(shortage: &Shortage) -> Decision {
     let Shortage {
-        short, left, held, ..
+        short,
+        unallotted,
+        held,
+        ..
     } = *shortage;
-    let is_all_owed = shortage.is_owed && left == Tokens::ZERO && held <= short;
-    if left + held < short || is_all_owed {
+    let is_all_reclaimed =
+        shortage.is_reduction_pending && unallotted == Tokens::ZERO && held <= short;
+    if unallotted + held < short || is_all_reclaimed {
         Decision::Refuse(Reason::BudgetExhausted)
     } else if shortage.is_log_out {
         Decision::Refuse(Reason::LogUnavailable)
     } else if shortage.waited > RECALL_WAIT {
         Decision::Refuse(Reason::BudgetElsewhere)
     } else {
-        Decision::Ask
+        Decision::RequestGrant
     }
 }
--- a/src/router/control/decision/mod.rs
+++ b/src/router/control/decision/mod.rs
@@ -1,5 +1,5 @@
-//! The rules by which a router retries, refuses, takes over, asks for grants and keeps its witness, one module
-//! each: pure functions of typed inputs, with their constants beside them.
+//! The rules for retries, refusals, takeovers, grant requests and the choice of a witness, one module each:
+//! pure functions of typed inputs, with their constants beside them.
 
 pub(super) mod grant;
 pub(super) mod refusal;
--- a/src/router/control/decision/refusal.rs
+++ b/src/router/control/decision/refusal.rs
@@ -1,18 +1,18 @@
-//! What a refusal says of a request that this router has not run: that it has not run at all, or only
-//! that it may have.
+//! Decides whether a refusal may state that the request has not run anywhere, or only that it may have run.
 
-/// What this router knows of a request that it has not run.
+/// What this router knows about a request that it has not run itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
-    /// Whether only this incarnation can have been given it.
+pub struct RunEvidence {
+    /// Whether only this incarnation can have received it.
     pub is_own: bool,
-    /// Whether it may have run before it came here, or in an attempt that broke off.
+    /// Whether it may have run before it reached this router, or in an attempt that broke off.
     pub may_have_run: bool,
-    /// Whether no witness can have closed this incarnation by now, which would let others run it.
-    pub is_sure: bool,
+    /// Whether no witness can have closed this incarnation by now; a closed one's requests may run on other
+    /// routers.
+    pub is_provably_open: bool,
 }
 
-/// Decides whether "not run" may be said.
-pub fn is_certain(standing: Standing) -> bool {
-    standing.is_own && !standing.may_have_run && standing.is_sure
+/// Whether the refusal may state "not run".
+pub fn is_known_not_run(evidence: RunEvidence) -> bool {
+    evidence.is_own && !evidence.may_have_run && evidence.is_provably_open
 }
--- a/src/router/control/decision/witness.rs
+++ b/src/router/control/decision/witness.rs
@@ -1,53 +1,54 @@
-//! When a holder looks for another witness, and which wards a witness that is about to end waits for.
+//! Decides when a holder changes its witness, and for which of its wards (the holders that it is the witness
+//! of) a stopping witness waits.
 
 use crate::units::Millis;
 
-/// A witness that has not answered for this long is replaced, and a ward that has not been heard for as
-/// long may have died.
-const SILENT: Millis = Millis(1_000);
+/// A witness that has not answered for longer than this is replaced; a ward that has not been heard from for
+/// longer than this may have crashed.
+const SILENCE_MAX: Millis = Millis(1_000);
 
-/// How a holder's witness stands.
+/// The state of a holder's witness, as the holder sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Standing {
-    /// Time since the last call that it answered was sent.
+pub struct WitnessState {
+    /// Time since the holder sent the last call that the witness answered.
     pub unanswered: Millis,
-    /// Whether it, or the host list, says that it leaves.
+    /// Whether the witness or the host list says that it is leaving.
     pub is_leaving: bool,
-    /// Whether another router can take its place.
+    /// Whether another router can replace it.
     pub has_other: bool,
 }
 
 /// What to do about a witness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It stays.
+    /// Keep it.
     Keep,
-    /// Another is asked, or none if there is no other.
+    /// Ask another router, or go without a witness if there is none.
     Change,
 }
 
-/// Decides whether a holder looks for another witness. One that leaves still answers for a while, so it
-/// is kept where nobody can take its place.
-pub fn decide(standing: &Standing) -> Decision {
-    let is_left = standing.is_leaving && standing.has_other;
-    if standing.unanswered > SILENT || is_left {
+/// Decides whether a holder changes its witness. A leaving witness still answers for a while, so it is kept
+/// if no router can replace it.
+pub fn decide(state: &WitnessState) -> Decision {
+    let is_replaceable = state.is_leaving && state.has_other;
+    if state.unanswered > SILENCE_MAX || is_replaceable {
         Decision::Change
     } else {
         Decision::Keep
     }
 }
 
-/// A ward that the ledger still has under a witness that is about to end.
+/// A ward whose witness, according to the ledger, is a router that is stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ward {
-    /// Time since it was last heard.
-    pub unheard: Millis,
+    /// Time since it was last heard from.
+    pub silent_for: Millis,
     /// Whether another router can be its witness.
     pub has_other: bool,
 }
 
-/// Whether a witness that is about to end waits for a ward: it will find another witness, or it may have
-/// died and is then to be closed.
-pub fn is_awaited(ward: &Ward) -> bool {
-    ward.has_other || ward.unheard > SILENT
+/// Whether a stopping witness waits for a ward: a ward that can will move to another witness, and a silent one
+/// may have crashed and must then be closed.
+pub fn must_wait_for(ward: &Ward) -> bool {
+    ward.has_other || ward.silent_for > SILENCE_MAX
 }
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -190,7 +190,7 @@
         self.pool.finished(self.now, choice.target, Some(outcome));
         match end {
             End::Complete { used, .. } => {
-                self.retries.note_answer();
+                self.retries.credit_answer();
                 self.settle_whole(ticket, used);
             }
             End::Unsent | End::Refused if self.retry(ticket, choice, Failure::NotRun) => {}
@@ -238,7 +238,7 @@
         };
         job.choice = Some(choice);
         let ask = job.open_ask();
-        self.retries.take();
+        self.retries.withdraw();
         self.pool.dispatched(choice.target);
         // The witness has the reservation already; this tells it where to ask.
         if let Some(ask) = ask {
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -29,22 +29,22 @@
     ) -> Option<Reason> {
         let now = self.now;
         let budget = self.ledger(key.shard).budget(key.index)?;
-        let (left, held, holders) = (budget.unallotted, budget.held(), budget.grants.len());
-        let is_owed = budget.prepaid > budget.terms.prepaid;
+        let (unallotted, held, holders) = (budget.unallotted, budget.held(), budget.grants.len());
+        let is_reduction_pending = budget.prepaid > budget.terms.prepaid;
         let job = self.jobs.get_mut(&ticket)?;
         let since = *job.short_since.get_or_insert(now);
         let shortage = Shortage {
             short,
-            left,
+            unallotted,
             held,
-            is_owed,
+            is_reduction_pending,
             is_log_out: self.is_log_out(),
             waited: now.saturating_sub(since),
         };
         if let Decision::Refuse(reason) = grant::decide(&shortage) {
             return Some(reason);
         }
-        let ask = self.holder.ask(now, key, short, left, holders + 1);
+        let ask = self.holder.ask(now, key, short, unallotted, holders + 1);
         self.ask_for(key, ask);
         None
     }
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -1,7 +1,7 @@
 //! This router among the others: heartbeats, and its duties as a witness.
 
 use super::action::Token;
-use super::decision::witness::{Ward, is_awaited};
+use super::decision::witness::{Ward, must_wait_for};
 use super::state::Asked;
 use super::{Action, Call, State};
 use crate::router::budget::{Answer, Doubt, Replay, Resolved, Taken, Witness};
@@ -297,12 +297,12 @@
     pub(super) fn is_awaited(&self) -> bool {
         let others = self.membership.well(self.now);
         let mut wards = self.named_wards().map(|named| Ward {
-            unheard: self.now.saturating_sub(named.heard),
+            silent_for: self.now.saturating_sub(named.heard),
             has_other: others.iter().any(|peer| peer.incarnation != named.holder),
         });
         let mut witnesses = self.witnesses.iter();
         let is_judge = |name| move |doubt: Doubt| self.is_judge_of(name, doubt.id, doubt.budget);
-        wards.any(|ward| is_awaited(&ward))
+        wards.any(|ward| must_wait_for(&ward))
             || witnesses.any(|(name, one)| one.doubtful().into_iter().any(is_judge(*name)))
     }
 
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 
-use super::decision::witness::{self, Decision, Standing};
+use super::decision::witness::{self, Decision, WitnessState};
 use super::job::Stage;
 use super::link::Link;
 use super::state::{Asked, LinkKey};
@@ -68,12 +68,12 @@
             Some(witness) => {
                 let link = self.links.get(&(me, witness));
                 let heard = link.map_or(Millis::ZERO, |link| link.heard);
-                let standing = Standing {
+                let state = WitnessState {
                     unanswered: self.now.saturating_sub(heard),
                     is_leaving: self.membership.is_leaving(self.now, witness),
                     has_other: self.next_witness().is_some(),
                 };
-                if witness::decide(&standing) == Decision::Change {
+                if witness::decide(&state) == Decision::Change {
                     self.change_witness(Some(witness));
                 }
             }
