--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -1,4 +1,4 @@
-//! What the control state is told, and what it wants done.
+//! The inputs of the control state and the actions that it requests.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,32 +14,32 @@
 use crate::router::request::{Id, Prefix, Ticket, Verdict};
 use crate::units::{Millis, Offset, Tokens};
 
-/// Ties an answer to the peer or operator that waits for it.
+/// Identifies the peer, operator or caller that waits for an answer.
 pub type Token = u64;
 
-/// Ties a reply to the call that it answers.
+/// Identifies a call to another router, so that its reply can be matched.
 pub type Call = u64;
 
-/// A request as the caller's side understood it.
+/// A caller's request, after parsing and authentication.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// This arrival.
+    /// Identifies this arrival of the request.
     pub ticket: Ticket,
-    /// The caller's id, or one made for it.
+    /// The caller's id, or one generated for it.
     pub id: Id,
-    /// Hash of all that makes it the same request.
+    /// Hash of everything that a retry of the request must repeat.
     pub fingerprint: u64,
-    /// Whose it is.
+    /// The customer.
     pub customer: String,
-    /// What pays.
+    /// Name of the budget that pays.
     pub budget: String,
-    /// Its class.
+    /// Name of its priority class.
     pub class: String,
-    /// Engine or service.
+    /// Whether it goes to an engine or a service.
     pub kind: Kind,
-    /// The model or service.
+    /// Name of the model or service.
     pub serves: String,
-    /// The most tokens that it can use, before the price; 0 for a service.
+    /// The most tokens that it can use, before the class's price factor; 0 for a service.
     pub max_tokens: Tokens,
     /// Whether it may run twice.
     pub repeatable: bool,
@@ -48,155 +48,155 @@
 /// How a dispatch ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// The whole answer is here.
+    /// The complete answer has arrived.
     Complete {
-        /// Tokens used, before the price.
+        /// Tokens used, before the class's price factor.
         used: Tokens,
-        /// Time to the last.
+        /// Time until the answer was complete.
         whole: Millis,
     },
     /// Nothing reached the target.
     Unsent,
-    /// The target says that it did not run the request.
+    /// The target reports that it did not run the request.
     Refused,
-    /// It broke off, or its answer cannot be trusted.
+    /// The attempt broke off, or its answer cannot be trusted.
     Broken {
-        /// Tokens seen, before the price.
+        /// Tokens received, before the class's price factor.
         used: Tokens,
-        /// Whether the caller has seen a part.
+        /// Whether the caller has received part of the answer.
         shown: bool,
     },
 }
 
-/// What the control state is told.
+/// An event that the control state handles.
 #[derive(Debug)]
 pub enum Input {
-    /// A caller's request.
+    /// A request has arrived from a caller.
     Arrive(Spec),
     /// A dispatch has ended.
     Ended {
         /// The request.
         ticket: Ticket,
-        /// How.
+        /// How it ended.
         end: End,
     },
-    /// Records of a stream; `first` is the oldest offset that the log still has.
+    /// Records have been read from a stream.
     Read {
         /// The stream.
         stream: Stream,
-        /// Oldest offset there.
+        /// The oldest offset that the log still has.
         first: Offset,
-        /// What follows on.
+        /// The batches that follow those read before, with their offsets.
         batches: Vec<(Offset, Batch)>,
     },
-    /// The log has answered, or has not.
+    /// Whether the log answers.
     LogUp(bool),
-    /// An append was answered; what counts is what is read back.
+    /// The log answered an append. A record only takes effect once it is read back.
     Appended {
         /// The stream.
         stream: Stream,
-        /// Whether the log took it.
+        /// Whether the log accepted it.
         taken: bool,
     },
-    /// The host list: peer address and whether it leaves.
+    /// The host list: the address of each peer and whether it is leaving.
     Hosts(Vec<(SocketAddr, bool)>),
-    /// A target's report of its load.
+    /// A target has reported its load.
     Report {
-        /// Its address.
+        /// The target's address.
         address: SocketAddr,
-        /// Requests that it has.
+        /// Requests that it has in progress.
         running: u32,
     },
-    /// A peer asks.
+    /// A peer has sent a request.
     Asked {
-        /// Where the answer goes.
+        /// Identifies the request in the reply.
         token: Token,
-        /// The question.
+        /// The request.
         request: Request,
     },
-    /// A call of ours was answered; `None` where it failed.
+    /// A call to another router has ended.
     Replied {
         /// The call.
         call: Call,
-        /// The answer.
+        /// The reply; `None` if the call failed.
         reply: Option<Reply>,
     },
-    /// An operator states an intent.
+    /// An operator has sent an intent.
     Intent {
-        /// Where the plan goes.
+        /// The operator's request.
         token: Token,
         /// The intent.
         intent: Intent,
     },
-    /// An operator confirms a plan.
+    /// An operator has confirmed a plan.
     Confirm {
-        /// Where the outcome goes.
+        /// The operator's request.
         token: Token,
         /// The plan.
         plan: Plan,
     },
-    /// Somebody asks how things are.
+    /// The status was requested.
     Status {
-        /// Where the status goes.
+        /// The status request.
         token: Token,
     },
-    /// A caller asks which addresses to use.
+    /// A caller has asked which addresses to use.
     Entry {
-        /// Where the answer goes.
+        /// Identifies the caller in the answer.
         token: Token,
         /// The customer.
         customer: String,
     },
-    /// A target has told that a request in doubt is done.
+    /// A target has reported that a request in doubt is done.
     Fate {
-        /// The request in its holder's accounts.
+        /// The request's id in its holder's accounts.
         id: Id,
-        /// Tokens used, before the price.
+        /// Tokens used, before the class's price factor.
         used: Tokens,
     },
-    /// Time has passed.
+    /// The periodic timer has fired.
     Tick,
-    /// A planned stop begins.
+    /// The process has been told to stop.
     Stop,
 }
 
-/// What the control state wants done.
+/// An action that the control state requests from the code around it.
 #[derive(Debug)]
 pub enum Action {
     /// Send a request to a target.
     Dispatch {
         /// The request.
         ticket: Ticket,
-        /// Its id, which the target is told.
+        /// Its id, which is sent to the target.
         id: Id,
-        /// Counts the dispatches of this request.
+        /// Number of this dispatch among those of the request, from 1.
         attempt: u32,
-        /// Where to.
+        /// The chosen target.
         choice: Choice,
-        /// Rank of its class.
+        /// Rank of the request's class.
         rank: u8,
     },
-    /// The verdict on a request.
+    /// Give the verdict on a request.
     Finish {
         /// The request.
         ticket: Ticket,
         /// The verdict.
         verdict: Verdict,
     },
-    /// A retry: answer it with what its first arrival gets.
+    /// Answer a retried request with what its first arrival gets.
     Join {
         /// The retry.
         ticket: Ticket,
         /// The first arrival.
         to: Ticket,
     },
-    /// Answers that need not be kept any more.
+    /// Drop the kept answers of these requests.
     Forget(Vec<Ticket>),
-    /// Notice a target what became of a request in doubt.
+    /// Ask a target for the outcome of a request in doubt.
     Inquire {
-        /// The request in its holder's accounts.
+        /// The request's id in its holder's accounts.
         id: Id,
-        /// Its id as the target knows it.
+        /// The id under which the target knows it.
         request: Id,
         /// The target.
         target: SocketAddr,
@@ -208,133 +208,133 @@
         /// The batch.
         batch: Batch,
     },
-    /// Notice a peer.
+    /// Call a peer.
     Call {
         /// The call.
         call: Call,
-        /// Where to.
+        /// The peer's address.
         to: SocketAddr,
-        /// The question.
+        /// The request.
         request: Request,
     },
-    /// Answer a peer.
+    /// Reply to a peer.
     Answer {
-        /// Whom.
+        /// The peer's request.
         token: Token,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
     /// Answer an operator's intent.
     Planned {
-        /// Whom.
+        /// The operator's request.
         token: Token,
-        /// The plan, or why there is none.
+        /// The plan, or the reason why there is none.
         result: Result<Proposal, Error>,
     },
-    /// Answer an operator's confirm; `None` where the log has not been read back in time.
+    /// Answer an operator's confirm.
     Confirmed {
-        /// Whom.
+        /// The operator's request.
         token: Token,
-        /// What became of the plan.
+        /// The plan's outcome; `None` if it was not read back from the log in time.
         outcome: Option<Outcome>,
     },
-    /// Answer a status question.
+    /// Answer a status request.
     Status {
-        /// Whom.
+        /// The status request.
         token: Token,
         /// The status.
         status: Box<Status>,
     },
-    /// Answer a caller's question: addresses with the prefix of ids there, best first.
+    /// Answer a caller that asked which addresses to use.
     Entries {
-        /// Whom.
+        /// The caller's request.
         token: Token,
-        /// The addresses.
+        /// The addresses, best first, each with the prefix for ids of requests sent there.
         entries: Vec<(SocketAddr, Prefix)>,
     },
-    /// The configuration in force has changed.
+    /// Publish the configuration, which has changed.
     Publish {
         /// The configuration.
         config: Arc<Config>,
     },
-    /// The process has a new incarnation.
+    /// The process goes on under a new incarnation.
     Reborn {
-        /// It.
+        /// The new incarnation.
         incarnation: Incarnation,
     },
-    /// An invariant does not hold.
+    /// Report an invariant that does not hold.
     Violated(Violation),
-    /// The planned stop is done.
+    /// End the process: the planned stop is complete.
     Exit,
 }
 
-/// A peer in a status.
+/// A peer in a [`Status`].
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusPeer {
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub entry: SocketAddr,
-    /// The process.
+    /// Its incarnation in hexadecimal.
     pub incarnation: String,
     /// Its hall.
     pub hall: String,
     /// `Well`, `Leaving` or `Ill`.
     pub standing: String,
-    /// How far it has read the configuration.
+    /// Offset up to which it has applied the configuration stream.
     pub applied: Offset,
 }
 
-/// A budget in a status.
+/// A budget in a [`Status`].
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusBudget {
     /// Its name.
     pub name: String,
     /// Its customer.
     pub customer: String,
-    /// Its place, for records of the log.
+    /// Its shard and index, by which the log's records refer to it.
     pub key: BudgetKey,
     /// Tokens paid for.
     pub prepaid: Tokens,
-    /// Tokens not handed to a router.
+    /// Tokens not granted to a router.
     pub unallotted: Tokens,
-    /// Tokens that routers may still spend.
+    /// Tokens granted to routers and not yet spent.
     pub held: Tokens,
     /// Tokens billed.
     pub billed: Tokens,
-    /// Tokens of requests whose outcome nobody has told; counted as spent.
+    /// Tokens of requests whose outcome is unknown; counted as spent.
     pub in_doubt: Tokens,
-    /// Holders in hexadecimal, with what each holds.
+    /// Holders in hexadecimal, with the tokens that each holds.
     pub holders: Vec<(String, Tokens)>,
 }
 
-/// How a router sees things.
+/// The state of a router, as its status request reports it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// The process.
+    /// Its incarnation in hexadecimal.
     pub incarnation: String,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub entry: SocketAddr,
     /// Its hall.
     pub hall: String,
     /// Whether it has read every stream to its end at least once.
     pub ready: bool,
-    /// Whether it is about to stop.
+    /// Whether a planned stop is in progress.
     pub stopping: bool,
-    /// Whether the log answers.
+    /// Whether the log is available.
     pub log_up: bool,
     /// Its witness in hexadecimal.
     pub witness: Option<String>,
     /// Holders that it is the witness of.
     pub wards: usize,
-    /// How far it has read each stream.
+    /// Offset up to which it has applied each stream.
     pub applied: Vec<(String, Offset)>,
-    /// Requests that wait.
+    /// Requests in a queue.
     pub waiting: usize,
-    /// Requests in progress in all.
+    /// All requests in progress.
     pub jobs: usize,
-    /// Invariants that did not hold since the start.
+    /// Invariant violations since the start.
     pub violations: u64,
     /// The other routers.
     pub peers: Vec<StatusPeer>,
-    /// Budgets.
+    /// The budgets.
     pub budgets: Vec<StatusBudget>,
 }
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -1,9 +1,10 @@
-//! Arrivals: whose id it is, whether it may be taken on, and where it waits.
+//! Arrivals: recognises retries, admits or refuses new requests and queues them, and takes over requests of
+//! other incarnations.
 
 use super::decision::refusal::{self, RunEvidence};
 use super::decision::takeover;
 use super::job::{Job, Stage};
-use super::state::Asked;
+use super::state::PendingCall;
 use super::{Action, Spec, State};
 use crate::router::budget::Taken;
 use crate::router::intent::Kind;
@@ -13,7 +14,7 @@
 use crate::units::{Millis, Tokens};
 
 impl State {
-    pub(super) fn arrive(&mut self, spec: Spec) {
+    pub(super) fn handle_arrival(&mut self, spec: Spec) {
         let ticket = spec.ticket;
         match self.table.find(spec.id, spec.fingerprint) {
             Found::Same(to) => {
@@ -33,35 +34,35 @@
             self.finish(ticket, Verdict::MayHaveRun { reason });
             return;
         }
-        // The last attempt's reservation is still being taken back.
+        // The last attempt's reservation is still being cancelled.
         if own && self.settling.contains_key(&spec.id.nonce) {
-            self.turn_away(ticket, own, Reason::WitnessUnavailable);
+            self.refuse_arrival(ticket, own, Reason::WitnessUnavailable);
             return;
         }
-        match self.describe(spec) {
+        match self.build_job(spec) {
             Ok(job) if own => self.admit(job),
-            Ok(job) => self.judge(job),
-            Err(reason) => self.turn_away(ticket, own, reason),
+            Ok(job) => self.request_takeover(job),
+            Err(reason) => self.refuse_arrival(ticket, own, reason),
         }
     }
 
     /// Refuses a request that has no job yet.
-    fn turn_away(&mut self, ticket: Ticket, own: bool, reason: Reason) {
+    fn refuse_arrival(&mut self, ticket: Ticket, own: bool, reason: Reason) {
         let evidence = RunEvidence {
             is_own: own,
             may_have_run: false,
-            is_provably_open: self.is_sure(),
+            is_provably_open: self.is_provably_open(),
         };
         let verdict = if refusal::is_known_not_run(evidence) {
-            self.not_run(reason)
+            self.not_run_verdict(reason)
         } else {
             Verdict::MayHaveRun { reason }
         };
         self.finish(ticket, verdict);
     }
 
-    /// Looks up all that a request names.
-    fn describe(&mut self, spec: Spec) -> Result<Job, Reason> {
+    /// Looks up the class, budget and prices that a request names.
+    fn build_job(&mut self, spec: Spec) -> Result<Job, Reason> {
         if !self.is_ready() {
             return Err(Reason::Starting);
         }
@@ -83,10 +84,10 @@
             nonce: spec.id.nonce,
             max_tokens,
             paid: None,
-            doubted: false,
-            seen: None,
+            may_have_run: false,
+            tokens_seen: None,
             holder: self.incarnation(),
-            opened: Vec::new(),
+            witnessed_by: Vec::new(),
             opening_since: Millis::ZERO,
             choice: None,
             tried: Vec::new(),
@@ -114,17 +115,17 @@
         Ok(BudgetKey { shard, index })
     }
 
-    /// The dearest of a service's runners: what is reserved must cover any of them.
+    /// The highest call price among a service's targets: the reservation must cover any of them.
     fn call_price(&self, service: &str) -> Tokens {
         let targets = self.config().targets();
         let prices = targets
             .filter(|(_, _, target)| target.kind == Kind::Service && target.serves == service)
             .map(|(_, _, target)| target.call_price);
-        // Without a runner nothing is dispatched, so nothing need be reserved.
+        // Without a target nothing is dispatched, so nothing need be reserved.
         prices.max().unwrap_or(Tokens::ZERO)
     }
 
-    /// Takes on a request that this incarnation alone may run.
+    /// Queues a request that only this incarnation may run, or refuses it.
     pub(super) fn admit(&mut self, mut job: Job) {
         job.stage = Stage::Waiting;
         let ticket = job.spec.ticket;
@@ -133,11 +134,11 @@
             .config()
             .customer(&customer)
             .map_or(0, |c| c.concurrency);
-        let busy = self.busy.entry(customer).or_default();
-        *busy += 1;
-        let too_many = *busy > limit;
+        let jobs = self.jobs_by_customer.entry(customer).or_default();
+        *jobs += 1;
+        let too_many = *jobs > limit;
         self.table.insert(job.spec.id, ticket, job.spec.fingerprint);
-        let unserved = self.unserved(job.spec.kind, &job.spec.serves);
+        let unserved_reason = self.unserved_reason(job.spec.kind, &job.spec.serves);
         self.holder
             .note_demand(self.now, job.budget, job.max_cost());
         self.jobs.insert(ticket, job);
@@ -145,15 +146,15 @@
             self.refuse(ticket, Reason::Stopping);
         } else if too_many {
             self.refuse(ticket, Reason::TooMany);
-        } else if let Some(reason) = unserved {
+        } else if let Some(reason) = unserved_reason {
             self.refuse(ticket, reason);
         } else {
             self.enqueue(ticket);
         }
     }
 
-    /// Why no target takes work for a model or service, if none does.
-    fn unserved(&self, kind: Kind, serves: &str) -> Option<Reason> {
+    /// Why no target accepts requests for a model or service; `None` if one does.
+    fn unserved_reason(&self, kind: Kind, serves: &str) -> Option<Reason> {
         if self.pool.serves(kind, serves) {
             return None;
         }
@@ -169,7 +170,7 @@
         let Some(job) = self.jobs.get(&ticket) else {
             return;
         };
-        let waiting = waiting(job);
+        let waiting = queue_entry(job);
         let group = (job.spec.kind, job.spec.serves.clone());
         let bound = self.settings.bound;
         let queue = self.queues.entry(group.clone());
@@ -179,49 +180,49 @@
         if let Some(shed) = shed {
             self.refuse(shed.ticket, Reason::Overloaded);
         }
-        self.pump_arrival(&group, ticket);
+        self.start_arrived(&group, ticket);
     }
 
-    /// Refuses a request that has not been dispatched: the id may come again.
+    /// Refuses a request that has not been dispatched. A retry with the same id is handled as a new request.
     pub(super) fn refuse(&mut self, ticket: Ticket, reason: Reason) {
-        let Some(job) = self.take_out(ticket) else {
+        let Some(job) = self.remove_job(ticket) else {
             return;
         };
         self.table.remove(job.spec.id);
         if job.stage == Stage::Opening {
             self.unreserve(&job);
         }
-        let verdict = self.refusal(&job, reason);
+        let verdict = self.refusal_verdict(&job, reason);
         self.finish(ticket, verdict);
     }
 
-    /// The verdict on a request that this router has not run. "Not run" is only said where nobody
-    /// else can have been given it: a router that its witness may have closed by now cannot speak
-    /// for its own ids, nor for what it had under an earlier incarnation.
-    pub(super) fn refusal(&mut self, job: &Job, reason: Reason) -> Verdict {
+    /// The verdict on a request that this router has not run. It is "not run" only if no other router can
+    /// have received the request. A router that its witness may have closed by now cannot state that for its
+    /// own ids, nor for requests that it had under an earlier incarnation.
+    pub(super) fn refusal_verdict(&mut self, job: &Job, reason: Reason) -> Verdict {
         let evidence = RunEvidence {
-            is_own: job.holder == self.incarnation() && job.stage != Stage::Judged,
-            may_have_run: job.doubted,
-            is_provably_open: self.is_sure(),
+            is_own: job.holder == self.incarnation() && job.stage != Stage::TakingOver,
+            may_have_run: job.may_have_run,
+            is_provably_open: self.is_provably_open(),
         };
         if refusal::is_known_not_run(evidence) {
-            self.not_run(reason)
+            self.not_run_verdict(reason)
         } else {
             Verdict::MayHaveRun { reason }
         }
     }
 
-    /// Takes a job out of all that it is in.
-    pub(super) fn take_out(&mut self, ticket: Ticket) -> Option<Job> {
+    /// Removes a job, also from its queue, its customer's count and the index by number.
+    pub(super) fn remove_job(&mut self, ticket: Ticket) -> Option<Job> {
         let job = self.jobs.remove(&ticket)?;
         let group = (job.spec.kind, job.spec.serves.clone());
         if let Some(queue) = self.queues.get_mut(&group) {
-            queue.remove(&waiting(&job));
+            queue.remove(&queue_entry(&job));
         }
-        if let Some(busy) = self.busy.get_mut(&job.spec.customer) {
-            *busy = busy.saturating_sub(1);
-            if *busy == 0 {
-                self.busy.remove(&job.spec.customer);
+        if let Some(jobs) = self.jobs_by_customer.get_mut(&job.spec.customer) {
+            *jobs = jobs.saturating_sub(1);
+            if *jobs == 0 {
+                self.jobs_by_customer.remove(&job.spec.customer);
             }
         }
         if job.holder == self.incarnation() {
@@ -230,12 +231,12 @@
         Some(job)
     }
 
-    /// A request of another incarnation: its witness judges whether it may run here.
-    pub(super) fn judge(&mut self, mut job: Job) {
-        job.stage = Stage::Judged;
+    /// Asks the witness of another incarnation whether a request of that incarnation may run here.
+    pub(super) fn request_takeover(&mut self, mut job: Job) {
+        job.stage = Stage::TakingOver;
         job.arrived = self.now;
         job.holder = self.incarnation();
-        job.opened.clear();
+        job.witnessed_by.clear();
         let ticket = job.spec.ticket;
         let id = job.spec.id;
         let shard = job.budget.shard;
@@ -256,17 +257,20 @@
             return;
         };
         self.table.insert(id, ticket, job.spec.fingerprint);
-        *self.busy.entry(job.spec.customer.clone()).or_default() += 1;
+        *self
+            .jobs_by_customer
+            .entry(job.spec.customer.clone())
+            .or_default() += 1;
         let repeatable = job.spec.repeatable;
         self.jobs.insert(ticket, job);
         let by = self.incarnation();
         if self.witnesses.contains_key(&witness) {
             let taken = self.take_over(id, shard, by, repeatable);
-            self.judged(ticket, taken);
+            self.handle_takeover_answer(ticket, taken);
             return;
         }
         let Some(address) = self.membership.address_of(witness) else {
-            self.judged(ticket, Taken::Unknown);
+            self.handle_takeover_answer(ticket, Taken::Unknown);
             return;
         };
         let request = Request::Take {
@@ -276,37 +280,38 @@
             by,
             repeatable,
         };
-        self.call(address, Asked::Take(ticket), request);
+        self.call(address, PendingCall::Takeover(ticket), request);
     }
 
-    /// The witness's word on a request of a lost incarnation.
-    pub(super) fn judged(&mut self, ticket: Ticket, taken: Taken) {
-        let judged = self.jobs.get(&ticket).map(|job| job.stage) == Some(Stage::Judged);
-        if !judged {
+    /// Handles the witness's answer to a takeover: admits the request, or refuses it.
+    pub(super) fn handle_takeover_answer(&mut self, ticket: Ticket, taken: Taken) {
+        let is_pending = self.jobs.get(&ticket).map(|job| job.stage) == Some(Stage::TakingOver);
+        if !is_pending {
             return;
         }
-        let Some(mut job) = self.take_out(ticket) else {
+        let Some(mut job) = self.remove_job(ticket) else {
             return;
         };
         self.table.remove(job.spec.id);
         match takeover::decide(taken, job.spec.repeatable) {
             Ok(terms) => {
                 job.paid = terms.paid;
-                job.doubted = terms.may_have_run;
-                job.nonce = self.own_nonce();
+                job.may_have_run = terms.may_have_run;
+                job.nonce = self.takeover_nonce();
                 self.admit(job);
             }
             Err(reason) => self.finish(ticket, Verdict::MayHaveRun { reason }),
         }
     }
 
-    /// Takes back what waits under a lost incarnation of this process, and has it judged anew.
-    pub(super) fn rejudge(&mut self, old: Incarnation) {
+    /// Requests a takeover, for this incarnation, of each request that was not dispatched under a closed
+    /// incarnation of this process.
+    pub(super) fn retake_undispatched(&mut self, old: Incarnation) {
         let waiting = self.jobs.values().filter(|job| job.holder == old);
         let waiting = waiting.filter(|job| job.stage != Stage::Running);
         let tickets: Vec<Ticket> = waiting.map(|job| job.spec.ticket).collect();
         for ticket in tickets {
-            let Some(mut job) = self.take_out(ticket) else {
+            let Some(mut job) = self.remove_job(ticket) else {
                 continue;
             };
             self.table.remove(job.spec.id);
@@ -315,12 +320,12 @@
             {
                 self.pool.finished(self.now, choice.target, None);
             }
-            self.judge(job);
+            self.request_takeover(job);
         }
     }
 }
 
-fn waiting(job: &Job) -> Waiting {
+fn queue_entry(job: &Job) -> Waiting {
     Waiting {
         ticket: job.spec.ticket,
         rank: job.rank,
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -1,4 +1,4 @@
-//! From the queue to a target, and back.
+//! Starts queued requests, dispatches them to targets, and settles them when the dispatch has ended.
 
 use super::decision::retry::{self, Failure, History};
 use super::job::{Job, Settling, Stage};
@@ -10,88 +10,93 @@
 use crate::router::request::{Id, Reason, Ticket, Verdict, Waiting};
 use crate::units::{Millis, Tokens};
 
-/// Longest wait of a reservation for its witnesses.
+/// Longest time that a reservation waits for its witnesses' acknowledgements.
 const OPEN_WAIT: Millis = Millis(1_500);
-/// Longest wait for a witness to judge.
-const JUDGE_WAIT: Millis = Millis(1_500);
-/// Longest that a verdict waits for the witness of its settlement.
+/// Longest time that a takeover waits for the witness's answer.
+const TAKEOVER_WAIT: Millis = Millis(1_500);
+/// Longest time that a verdict waits for the witnesses to acknowledge the settlement.
 const VERDICT_WAIT: Millis = Millis(200);
 
-/// Whether a queued request could start.
+/// The result of trying to start a queued request.
 enum Start {
     Started,
+    /// It waits for tokens; others in its queue may start.
     Blocked,
+    /// No target has a free slot.
     NoSlot,
     Refused(Reason),
 }
 
 impl State {
-    pub(super) fn pump(&mut self) {
+    /// Starts all queued requests that can start.
+    pub(super) fn start_queued(&mut self) {
         let groups: Vec<_> = self.queues.keys().cloned().collect();
         for group in groups {
-            self.pump_group(&group);
+            self.start_queued_group(&group);
         }
         self.queues.retain(|_, queue| !queue.is_empty());
     }
 
-    /// Starts what can start of one model or service, and refuses at once what will be too late.
-    pub(super) fn pump_group(&mut self, group: &(Kind, String)) {
+    /// Starts the queued requests for one model or service that can start, and refuses at once those that
+    /// cannot start in time.
+    pub(super) fn start_queued_group(&mut self, group: &(Kind, String)) {
         let Some(queue) = self.queues.get_mut(group) else {
             return;
         };
-        let waiting: Vec<Waiting> = queue.iter().copied().collect();
+        let queued: Vec<Waiting> = queue.iter().copied().collect();
         let unserved = !self.pool.serves(group.0, &group.1);
-        for one in waiting {
+        for waiting in queued {
             let start = if unserved {
                 Start::Refused(Reason::NoTarget)
             } else {
-                self.start(one.ticket)
+                self.start(waiting.ticket)
             };
-            if !self.started(group, &one, start) {
+            if !self.apply_start(group, &waiting, start) {
                 break;
             }
         }
-        self.refuse_hopeless(group);
+        self.refuse_too_late(group);
     }
 
-    /// Starts a request that has just come, unless others wait for a target before it. Those that
-    /// wait for money are tried again when the ledger moves, not with each arrival.
-    pub(super) fn pump_arrival(&mut self, group: &(Kind, String), ticket: Ticket) {
+    /// Starts a request that has just arrived, unless another waits for a target ahead of it. Requests that
+    /// wait for tokens are tried again when the ledger changes, not with each arrival.
+    pub(super) fn start_arrived(&mut self, group: &(Kind, String), ticket: Ticket) {
         let Some(queue) = self.queues.get(group) else {
             return;
         };
         let jobs = &self.jobs;
-        let short = |one: &Waiting| {
-            jobs.get(&one.ticket)
+        let is_short = |waiting: &Waiting| {
+            jobs.get(&waiting.ticket)
                 .is_some_and(|job| job.short_since.is_some())
         };
         let first = queue
             .iter()
-            .find(|one| one.ticket == ticket || !short(one))
+            .find(|waiting| waiting.ticket == ticket || !is_short(waiting))
             .copied();
         if let Some(first) = first.filter(|first| first.ticket == ticket) {
             let start = self.start(ticket);
-            self.started(group, &first, start);
+            self.apply_start(group, &first, start);
         }
-        self.refuse_hopeless(group);
+        self.refuse_too_late(group);
     }
 
-    /// Takes a request that was tried out of its queue, if it is to go; whether more can be tried.
-    fn started(&mut self, group: &(Kind, String), one: &Waiting, start: Start) -> bool {
+    /// Removes a request that was started or refused from its queue. Returns whether the next one may be tried.
+    fn apply_start(&mut self, group: &(Kind, String), waiting: &Waiting, start: Start) -> bool {
         match start {
             Start::Started => {
                 if let Some(queue) = self.queues.get_mut(group) {
-                    queue.remove(one);
+                    queue.remove(waiting);
                 }
             }
             Start::Blocked => {}
             Start::NoSlot => return false,
-            Start::Refused(reason) => self.refuse(one.ticket, reason),
+            Start::Refused(reason) => self.refuse(waiting.ticket, reason),
         }
         true
     }
 
-    fn refuse_hopeless(&mut self, group: &(Kind, String)) {
+    /// Refuses the queued requests that cannot start in time at the rate at which targets finish work.
+    fn refuse_too_late(&mut self, group: &(Kind, String)) {
         let rate = self.pool.rate(self.now, group.0, &group.1);
         if let Some(queue) = self.queues.get_mut(group) {
             for late in queue.hopeless(self.now, rate) {
@@ -108,7 +113,7 @@
         let grant = self.grant(key);
         let short = amount.saturating_sub(self.holder.free(key, grant));
         if short > Tokens::ZERO {
-            return match self.want_grant(ticket, key, short) {
+            return match self.request_grant(ticket, key, short) {
                 Some(reason) => Start::Refused(reason),
                 None => Start::Blocked,
             };
@@ -123,7 +128,7 @@
         Start::Started
     }
 
-    /// Has a reservation witnessed; without a witness it is dispatched at once.
+    /// Sends a reservation to the witnesses. If none must acknowledge it, the request is dispatched at once.
     fn open(&mut self, ticket: Ticket, choice: Choice) {
         let Some(job) = self.jobs.get_mut(&ticket) else {
             return;
@@ -131,23 +136,27 @@
         job.stage = Stage::Opening;
         job.opening_since = self.now;
         job.choice = Some(choice);
-        let ask = job.open_ask();
+        let notice = job.open_notice();
         let nonce = job.nonce;
         self.pool.dispatched(choice.target);
         self.by_nonce.insert(nonce, ticket);
-        if let Some(ask) = ask {
-            self.tell_witnesses(&ask);
+        if let Some(notice) = notice {
+            self.notify_witnesses(&notice);
         }
         self.try_dispatch(ticket);
     }
 
-    /// Dispatches once every witness that must have the reservation has it.
+    /// Dispatches a request if every required witness has acknowledged its reservation.
     pub(super) fn try_dispatch(&mut self, ticket: Ticket) {
         let Some(job) = self.jobs.get(&ticket) else {
             return;
         };
-        let needed = self.needed(job.budget.shard);
-        if job.stage != Stage::Opening || !needed.iter().all(|one| job.opened.contains(one)) {
+        let required = self.required_witnesses(job.budget.shard);
+        if job.stage != Stage::Opening
+            || !required
+                .iter()
+                .all(|witness| job.witnessed_by.contains(witness))
+        {
             return;
         }
         self.dispatch(ticket);
@@ -172,8 +181,8 @@
         });
     }
 
-    /// A dispatch has ended.
-    pub(super) fn ended(&mut self, ticket: Ticket, end: End) {
+    /// Handles the end of a dispatch: retries, settles or cancels the request.
+    pub(super) fn handle_end(&mut self, ticket: Ticket, end: End) {
         let Some(job) = self.jobs.get(&ticket) else {
             return;
         };
@@ -190,25 +199,25 @@
         self.pool.finished(self.now, choice.target, Some(outcome));
         match end {
             End::Complete { used, .. } => {
-                self.retries.credit_answer();
-                self.settle_whole(ticket, used);
+                self.retry_budget.credit_answer();
+                self.settle_complete(ticket, used);
             }
             End::Unsent | End::Refused if self.retry(ticket, choice, Failure::NotRun) => {}
-            End::Unsent | End::Refused => match self.jobs[&ticket].seen {
+            End::Unsent | End::Refused => match self.jobs[&ticket].tokens_seen {
                 Some(seen) => self.settle_broken(ticket, seen),
                 None => self.cancel(ticket, Reason::TargetRefused),
             },
-            End::Broken { used, shown } => self.broke_off(ticket, choice, used, shown),
+            End::Broken { used, shown } => self.handle_broken(ticket, choice, used, shown),
         }
-        self.pump();
+        self.start_queued();
     }
 
-    fn broke_off(&mut self, ticket: Ticket, choice: Choice, used: Tokens, shown: bool) {
+    fn handle_broken(&mut self, ticket: Ticket, choice: Choice, used: Tokens, shown: bool) {
         let Some(job) = self.jobs.get_mut(&ticket) else {
             return;
         };
-        job.doubted = true;
-        job.seen = Some(used.max(job.seen.unwrap_or(Tokens::ZERO)));
+        job.may_have_run = true;
+        job.tokens_seen = Some(used.max(job.tokens_seen.unwrap_or(Tokens::ZERO)));
         let failure = Failure::Broken {
             is_repeatable: job.spec.repeatable,
             was_shown: shown,
@@ -218,8 +227,8 @@
         }
     }
 
-    /// Dispatches a request to another target under the reservation that it has, if the rules, the
-    /// targets and the retry budget allow it.
+    /// Dispatches a request to another target under its existing reservation, if the retry rules and the retry
+    /// budget allow it and a target is free. Returns whether it did.
     fn retry(&mut self, ticket: Ticket, last: Choice, failure: Failure) -> bool {
         let Some(job) = self.jobs.get_mut(&ticket) else {
             return false;
@@ -230,77 +239,79 @@
             attempts: job.attempt,
             is_own: job.holder == self.holder.me(),
         };
-        if !retry::may_retry(&history, &self.retries) {
+        if !retry::may_retry(&history, &self.retry_budget) {
             return false;
         }
         let Some(choice) = choose(&self.pool, self.now, job, &mut self.rng) else {
             return false;
         };
         job.choice = Some(choice);
-        let ask = job.open_ask();
-        self.retries.withdraw();
+        let notice = job.open_notice();
+        self.retry_budget.withdraw();
         self.pool.dispatched(choice.target);
-        // The witness has the reservation already; this tells it where to ask.
-        if let Some(ask) = ask {
-            self.tell_witnesses(&ask);
+        // The witnesses have the reservation already; this tells them which target to ask for the outcome.
+        if let Some(notice) = notice {
+            self.notify_witnesses(&notice);
         }
         self.dispatch(ticket);
         true
     }
 
-    fn settle_whole(&mut self, ticket: Ticket, used: Tokens) {
+    fn settle_complete(&mut self, ticket: Ticket, used: Tokens) {
         self.settle(ticket, used, |billed| Verdict::Ran { billed });
     }
 
-    /// What broke off is billed what was seen of it; a service call is billed whole, since it may
-    /// have run.
+    /// Bills an attempt that broke off for the tokens received; a service call is billed its full price, since
+    /// it may have run.
     fn settle_broken(&mut self, ticket: Ticket, used: Tokens) {
         let reason = Reason::TargetFailed;
         self.settle(ticket, used, |_| Verdict::MayHaveRun { reason });
     }
 
-    /// Bills a request, and gives its verdict once its witnesses have the bill.
+    /// Bills a request. Its verdict follows once the witnesses have acknowledged the bill, or after
+    /// [`VERDICT_WAIT`].
     fn settle(&mut self, ticket: Ticket, used: Tokens, verdict: impl Fn(Tokens) -> Verdict) {
-        let Some(job) = self.take_out(ticket) else {
+        let Some(job) = self.remove_job(ticket) else {
             return;
         };
         let cost = job.cost(used);
         if job.holder != self.incarnation() {
             let billed = cost.min(job.max_cost());
-            self.settle_late(&job, billed, verdict(billed));
+            self.settle_past(&job, billed, verdict(billed));
             return;
         }
         match self.holder.settle(job.budget, job.nonce, cost) {
             Ok(billed) => {
-                let told = job.paid.unwrap_or(billed);
-                let verdict = Some((ticket, verdict(told)));
+                let reported = job.paid.unwrap_or(billed);
+                let verdict = Some((ticket, verdict(reported)));
                 self.start_settling(&job, Some(billed), verdict);
             }
             Err(violation) => {
-                self.violated(violation);
+                self.report_violation(violation);
                 let reason = Reason::Suspended;
                 self.finish(ticket, Verdict::MayHaveRun { reason });
             }
         }
     }
 
-    /// Nothing reached any target: the reservation is given up and the id may come again.
+    /// Cancels the reservation of a request that no target has run. A retry with the same id is handled as a new
+    /// request.
     fn cancel(&mut self, ticket: Ticket, reason: Reason) {
-        let Some(job) = self.take_out(ticket) else {
+        let Some(job) = self.remove_job(ticket) else {
             return;
         };
         self.table.remove(job.spec.id);
-        let verdict = self.refusal(&job, reason);
+        let verdict = self.refusal_verdict(&job, reason);
         if job.holder == self.incarnation() {
             self.holder.cancel(job.budget, job.nonce);
             self.start_settling(&job, None, None);
             self.finish(ticket, verdict);
         } else {
-            self.settle_late(&job, Tokens::ZERO, verdict);
+            self.settle_past(&job, Tokens::ZERO, verdict);
         }
     }
 
-    /// Gives up a reservation that was never dispatched.
+    /// Cancels the reservation of a request that was never dispatched.
     pub(super) fn unreserve(&mut self, job: &Job) {
         if let Some(choice) = job.choice {
             self.pool.finished(self.now, choice.target, None);
@@ -320,18 +331,19 @@
         let settling = Settling {
             budget: job.budget,
             billed,
-            acked: Vec::new(),
+            acked_by: Vec::new(),
             since: self.now,
             verdict,
         };
         let nonce = job.nonce;
         self.settling.insert(nonce, settling);
-        self.tell_witnesses(&Notice::Settle { nonce, billed });
+        self.notify_witnesses(&Notice::Settle { nonce, billed });
         self.try_acknowledge(nonce);
     }
 
-    /// A request of an earlier incarnation of this process: its old witness decides the bill.
-    fn settle_late(&mut self, job: &Job, billed: Tokens, verdict: Verdict) {
+    /// Settles a request of an earlier incarnation of this process; that incarnation's witness decides whether
+    /// the bill counts.
+    fn settle_past(&mut self, job: &Job, billed: Tokens, verdict: Verdict) {
         let id = Id {
             incarnation: job.holder,
             nonce: job.nonce,
@@ -339,41 +351,47 @@
         let settling = Settling {
             budget: job.budget,
             billed: Some(billed),
-            acked: Vec::new(),
+            acked_by: Vec::new(),
             since: self.now,
             verdict: Some((job.spec.ticket, verdict)),
         };
-        self.late.insert(id, settling);
-        let ask = Notice::Settle {
+        self.past_settling.insert(id, settling);
+        let notice = Notice::Settle {
             nonce: job.nonce,
             billed: Some(billed),
         };
         let links = self.links.iter_mut();
         for (_, link) in links.filter(|((holder, _), _)| *holder == job.holder) {
-            link.push(ask.clone());
+            link.push(notice.clone());
         }
     }
 
+    /// Ends the waits for witnesses that have lasted too long.
     pub(super) fn expire_jobs(&mut self) {
         let now = self.now;
         let mut unopened = Vec::new();
-        let mut unjudged = Vec::new();
+        let mut undecided = Vec::new();
         for (ticket, job) in &self.jobs {
             match job.stage {
                 Stage::Opening if now > job.opening_since + OPEN_WAIT => unopened.push(*ticket),
-                Stage::Judged if now > job.arrived + JUDGE_WAIT => unjudged.push(*ticket),
+                Stage::TakingOver if now > job.arrived + TAKEOVER_WAIT => undecided.push(*ticket),
                 _ => {}
             }
         }
         for ticket in unopened {
             self.refuse(ticket, Reason::WitnessUnavailable);
         }
-        for ticket in unjudged {
-            self.judged(ticket, crate::router::budget::Taken::Unknown);
+        for ticket in undecided {
+            self.handle_takeover_answer(ticket, crate::router::budget::Taken::Unknown);
         }
-        let settling = self.settling.values_mut().chain(self.late.values_mut());
-        let waited = settling.filter(|one| now > one.since + VERDICT_WAIT);
-        let verdicts: Vec<_> = waited.filter_map(|one| one.verdict.take()).collect();
+        let settling = self
+            .settling
+            .values_mut()
+            .chain(self.past_settling.values_mut());
+        let waited = settling.filter(|settling| now > settling.since + VERDICT_WAIT);
+        let verdicts: Vec<_> = waited
+            .filter_map(|settling| settling.verdict.take())
+            .collect();
         for (ticket, verdict) in verdicts {
             self.finish(ticket, verdict);
         }
--- a/src/router/control/job.rs
+++ b/src/router/control/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way.
+//! A request in progress.
 
 use crate::router::budget::{Price, Reservation};
 use crate::router::intent::Kind;
@@ -10,20 +10,20 @@
 
 use super::Spec;
 
-/// Where a request is on its way.
+/// The stage of a request in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// A witness judges whether it may be taken over.
-    Judged,
-    /// It waits for a target, or for a grant.
+    /// It waits for the witness of a lost incarnation to decide whether it may be taken over.
+    TakingOver,
+    /// It is queued for a target or a grant.
     Waiting,
-    /// Its reservation is being witnessed.
+    /// Its reservation waits for the witnesses' acknowledgements.
     Opening,
-    /// A target has it.
+    /// It was dispatched to a target.
     Running,
 }
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Clone, Debug)]
 pub(super) struct Job {
     pub spec: Spec,
@@ -33,30 +33,30 @@
     pub price_permille: u32,
     pub arrived: Millis,
     pub budget: BudgetKey,
-    /// Its number in this router's own accounts; differs from the caller's in a takeover.
+    /// Its number in the holder's accounts; after a takeover it differs from the one in the caller's id.
     pub nonce: u64,
-    /// The most tokens that it can use, before the price.
+    /// The most tokens that it can use, before the class's price factor.
     pub max_tokens: Tokens,
-    /// What it was billed elsewhere already; it costs nothing more here.
+    /// What it was billed before it was taken over, if it was; it costs nothing more here.
     pub paid: Option<Tokens>,
-    /// Whether it may have run before it came here, so that "not run" must not be said of it.
-    pub doubted: bool,
-    /// Tokens seen of an attempt that broke off.
-    pub seen: Option<Tokens>,
-    /// The incarnation whose accounts it is in.
+    /// Whether it may have run in an earlier attempt, here or elsewhere; its verdict is then never "not run".
+    pub may_have_run: bool,
+    /// The most tokens received from an attempt that broke off.
+    pub tokens_seen: Option<Tokens>,
+    /// The incarnation of this process whose accounts it is in.
     pub holder: Incarnation,
-    /// Witnesses that have its reservation.
-    pub opened: Vec<Incarnation>,
+    /// Witnesses that have acknowledged its reservation.
+    pub witnessed_by: Vec<Incarnation>,
     pub opening_since: Millis,
     pub choice: Option<Choice>,
     pub tried: Vec<TargetKey>,
     pub attempt: u32,
-    /// When it first lacked a grant.
+    /// When it first lacked tokens.
     pub short_since: Option<Millis>,
 }
 
 impl Job {
-    /// The most that it can cost.
+    /// The most tokens that it can cost.
     pub fn max_cost(&self) -> Tokens {
         if self.paid.is_some() {
             return Tokens::ZERO;
@@ -64,12 +64,12 @@
         self.priced(self.max_tokens)
     }
 
-    /// A cost at the job's price.
+    /// Applies the price factor of the request's class.
     fn priced(&self, used: Tokens) -> Tokens {
         used.priced(self.price_permille)
     }
 
-    /// What it costs, given the tokens used; a service call costs its price, whatever it used.
+    /// Its cost, given the tokens used. A service call costs its fixed price, whatever it used.
     pub fn cost(&self, used: Tokens) -> Tokens {
         match self.spec.kind {
             _ if self.paid.is_some() => Tokens::ZERO,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// What its witness has to know, once it has a target.
+    /// The reservation as sent to its witnesses; `None` until a target is chosen.
     pub fn reservation(&self) -> Option<Reservation> {
         let price = match self.spec.kind {
             Kind::Engine => Price::Permille(self.price_permille),
@@ -92,8 +92,8 @@
         })
     }
 
-    /// What opens it at its witness.
-    pub fn open_ask(&self) -> Option<Notice> {
+    /// The notice that opens it at its witnesses; `None` until a target is chosen.
+    pub fn open_notice(&self) -> Option<Notice> {
         Some(Notice::Open {
             nonce: self.nonce,
             budget: self.budget,
@@ -102,14 +102,14 @@
     }
 }
 
-/// A billed or cancelled request that its witnesses do not all have yet.
+/// The settlement of a billed or cancelled request that not all witnesses have acknowledged yet.
 #[derive(Clone, Debug)]
 pub(super) struct Settling {
     pub budget: BudgetKey,
-    /// The bill; `None` where the request was never dispatched.
+    /// The bill; `None` if the request was cancelled without having run.
     pub billed: Option<Tokens>,
-    pub acked: Vec<Incarnation>,
+    pub acked_by: Vec<Incarnation>,
     pub since: Millis,
-    /// The verdict that waits for the witnesses.
+    /// The verdict that is held back until the witnesses have acknowledged.
     pub verdict: Option<(Ticket, Verdict)>,
 }
--- a/src/router/control/link.rs
+++ b/src/router/control/link.rs
@@ -1,4 +1,5 @@
-//! A holder's channel to one witness: in order, one call at a time, repeated until answered.
+//! A holder's link to one of its witnesses. Notices are sent in order, one call at a time; a call is repeated
+//! until it is answered.
 
 use std::collections::VecDeque;
 
@@ -8,108 +9,112 @@
 
 use super::Call;
 
-/// A call unanswered for this long is sent again.
+/// A call that is unanswered for this long is sent again.
 const RESEND_AFTER: Millis = Millis(400);
-/// Notices in one call.
+/// Most notices in one call.
 const NOTICES_MAX: usize = 128;
 
 #[derive(Clone, Debug)]
-struct Flight {
+struct InFlight {
     call: Call,
-    asks: Vec<Notice>,
+    notices: Vec<Notice>,
     since: Millis,
 }
 
-/// The channel.
+/// A link from a holder to a witness.
 #[derive(Clone, Debug)]
 pub(super) struct Link {
     holder: Incarnation,
     to: Incarnation,
     seq: u64,
     outbox: VecDeque<Notice>,
-    flight: Option<Flight>,
-    /// When the last call that was answered had been sent.
-    pub heard: Millis,
-    /// Whether the witness has taken the accounts.
+    in_flight: Option<InFlight>,
+    /// When the last answered call was sent; when the link was made, if none was answered.
+    pub last_answered: Millis,
+    /// Whether the witness has acknowledged the holder's accounts.
     pub adopted: bool,
-    /// Requests that stood open in the accounts when they were made.
+    /// Numbers of the requests that are open in the accounts sent to the witness.
     pub open: Vec<u64>,
-    /// Requests that stood settled in them, and were not yet acknowledged.
+    /// Numbers of the requests that are settled in them, with an acknowledgement still outstanding.
     pub settled: Vec<u64>,
 }
 
 impl Link {
-    /// A channel with nothing sent.
+    /// A link on which nothing was sent yet.
     ///
-    /// `count` numbers the links of this process, so that a late call of an earlier one is told
-    /// apart.
+    /// `count` numbers the links of this process, so that the witness recognises a delayed call of an earlier
+    /// link.
     pub fn new(now: Millis, holder: Incarnation, to: Incarnation, count: u32) -> Self {
         Self {
             holder,
             to,
             seq: u64::from(count) << 32,
             outbox: VecDeque::new(),
-            flight: None,
-            heard: now,
+            in_flight: None,
+            last_answered: now,
             adopted: false,
             open: Vec::new(),
             settled: Vec::new(),
         }
     }
 
-    /// Queues an ask.
-    pub fn push(&mut self, ask: Notice) {
-        self.outbox.push_back(ask);
+    /// Queues a notice.
+    pub fn push(&mut self, notice: Notice) {
+        self.outbox.push_back(notice);
     }
 
-    /// Whether nothing is queued or under way.
+    /// Whether nothing is queued or in flight.
     pub fn is_idle(&self) -> bool {
-        self.outbox.is_empty() && self.flight.is_none()
+        self.outbox.is_empty() && self.in_flight.is_none()
     }
 
-    /// The next call, if one is due; `call` numbers it.
+    /// The next call if one is due, which is then in flight under the number `call`.
     pub fn due(&mut self, now: Millis, call: Call) -> Option<Request> {
-        match &mut self.flight {
-            Some(flight) if now < flight.since + RESEND_AFTER => return None,
-            Some(flight) => {
-                flight.call = call;
-                flight.since = now;
+        match &mut self.in_flight {
+            Some(in_flight) if now < in_flight.since + RESEND_AFTER => return None,
+            Some(in_flight) => {
+                in_flight.call = call;
+                in_flight.since = now;
             }
             None if self.outbox.is_empty() => return None,
             None => {
                 let count = self.outbox.len().min(NOTICES_MAX);
-                let asks = self.outbox.drain(..count).collect();
+                let notices = self.outbox.drain(..count).collect();
                 self.seq += 1;
                 let since = now;
-                self.flight = Some(Flight { call, asks, since });
+                self.in_flight = Some(InFlight {
+                    call,
+                    notices,
+                    since,
+                });
             }
         }
-        let flight = self.flight.as_ref()?;
+        let in_flight = self.in_flight.as_ref()?;
         Some(Request::Ward {
             to: self.to,
             holder: self.holder,
             seq: self.seq,
-            asks: flight.asks.clone(),
+            asks: in_flight.notices.clone(),
         })
     }
 
-    /// Whether this reply is to the call under way; its asks are then taken out.
-    pub fn answered(&mut self, call: Call) -> Option<Vec<Notice>> {
-        if self.flight.as_ref()?.call != call {
+    /// Ends the call in flight and returns its notices; `None` if `call` is not in flight any more.
+    pub fn complete(&mut self, call: Call) -> Option<Vec<Notice>> {
+        if self.in_flight.as_ref()?.call != call {
             return None;
         }
-        let flight = self.flight.take()?;
-        self.heard = flight.since;
-        Some(flight.asks)
+        let in_flight = self.in_flight.take()?;
+        self.last_answered = in_flight.since;
+        Some(in_flight.notices)
     }
 
-    /// The call failed; it is due again after a while.
+    /// Records that a call failed; it is due again after half of [`RESEND_AFTER`].
     pub fn failed(&mut self, now: Millis, call: Call) {
-        if let Some(flight) = &mut self.flight
-            && flight.call == call
+        if let Some(in_flight) = &mut self.in_flight
+            && in_flight.call == call
         {
-            // Half the wait: a refused connection need not be waited for in full.
-            flight.since = now.saturating_sub(Millis(RESEND_AFTER.0 / 2));
+            // Half the wait: after a refused connection there is no answer to wait for.
+            in_flight.since = now.saturating_sub(Millis(RESEND_AFTER.0 / 2));
         }
     }
 }
--- a/src/router/control/mod.rs
+++ b/src/router/control/mod.rs
@@ -1,9 +1,9 @@
-//! The control state of a router: one value, one thread, no input or output of its own.
+//! The control state of a router: a single value, owned by one thread, that does no I/O.
 //!
-//! [`State::handle`] takes an [`Input`] and the time and gives [`Action`]s; sockets, clocks and
-//! streams of answers are the shell's affair ([`crate::router::http`], [`crate::cmd`]). The same code
-//! therefore runs in a router and, in one thread with a seeded order of events, in the randomised
-//! runs of `tests/random_runs.rs`.
+//! [`State::handle`] takes an [`Input`] and the time and returns [`Action`]s; sockets, clocks and
+//! response streams are left to the code around it ([`crate::router::http`], [`crate::cmd`]). The same
+//! code therefore runs in a router and, in one thread with a seeded order of events, in the randomised
+//! tests of `tests/random_runs.rs`.
 
 mod action;
 mod arrive;
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -1,4 +1,4 @@
-//! Asking for grants, giving them back, and writing down what was spent.
+//! Requests grants from the ledgers, returns unused tokens and records settlements.
 
 use super::State;
 use super::decision::grant::{self, Decision, Shortage};
@@ -7,21 +7,22 @@
 use crate::router::request::{Reason, Ticket};
 use crate::units::{Millis, Tokens};
 
-/// Time between two rounds of settlement records, in a small fleet.
+/// Time between two rounds of account maintenance for a router without peers.
 const MAINTENANCE_INTERVAL: Millis = Millis(1_000);
-/// What each other router adds to it, so that the fleet's appends stay within what the log takes.
+/// What each healthy peer adds to it, so that the fleet's appends stay within the log's capacity.
 const MAINTENANCE_PER_PEER: Millis = Millis(20);
-/// A budget is asked for again after this long at the earliest.
-const ASK_AGAIN: Millis = Millis(300);
-/// A grant is asked for before it runs out within this span.
-const LOW_WITHIN: Millis = Millis(5_000);
-/// The log counts as out when it has not answered for this long.
-const LOG_WAIT: Millis = Millis(2_000);
+/// Shortest time between two grant requests for the same budget.
+const GRANT_REQUEST_INTERVAL: Millis = Millis(300);
+/// A grant is requested ahead of demand if the tokens held would run out within this span and one maintenance
+/// interval.
+const REFILL_HORIZON: Millis = Millis(5_000);
+/// The log counts as unavailable when it has not answered for longer than this.
+const LOG_SILENCE_MAX: Millis = Millis(2_000);
 
 impl State {
-    /// Asks the ledger for what is short. Why the request must be refused now is returned, or
-    /// `None` where it may wait for the answer.
-    pub(super) fn want_grant(
+    /// Requests a grant for the tokens that a request lacks. Returns why the request must be refused now, or
+    /// `None` if it may wait for the grant.
+    pub(super) fn request_grant(
         &mut self,
         ticket: Ticket,
         key: BudgetKey,
@@ -44,39 +45,43 @@
         if let Decision::Refuse(reason) = grant::decide(&shortage) {
             return Some(reason);
         }
-        let ask = self.holder.ask(now, key, short, unallotted, holders + 1);
-        self.ask_for(key, ask);
+        let amount = self.holder.ask(now, key, short, unallotted, holders + 1);
+        self.write_grant_request(key, amount);
         None
     }
 
-    fn ask_for(&mut self, key: BudgetKey, ask: Tokens) {
+    fn write_grant_request(&mut self, key: BudgetKey, amount: Tokens) {
         let now = self.now;
-        let recent = self
-            .asked_at
+        let is_recent = self
+            .grant_requested_at
             .get(&key)
-            .is_some_and(|at| now < *at + ASK_AGAIN);
-        let same =
+            .is_some_and(|at| now < *at + GRANT_REQUEST_INTERVAL);
+        let is_same =
             |record: &Record| matches!(record, Record::Grant { budget, .. } if *budget == key);
-        if recent || self.writer(key.stream()).holds(same) {
+        if is_recent || self.writer(key.stream()).holds(is_same) {
             return;
         }
-        self.asked_at.insert(key, now);
+        self.grant_requested_at.insert(key, now);
         self.name_witness(key.shard);
-        let record = Record::Grant { budget: key, ask };
+        let record = Record::Grant {
+            budget: key,
+            ask: amount,
+        };
         self.writer(key.stream()).push(record);
     }
 
-    /// Whether the log has not answered for a while, as far as appends or reads tell.
+    /// Whether the log is unavailable: its reads have failed, or an append was not read back, for too long.
     pub(super) fn is_log_out(&self) -> bool {
         let now = self.now;
-        let down = !self.log_up && now > self.log_down_since + LOG_WAIT;
-        down || self
-            .writers
-            .values()
-            .any(|writer| writer.waited(now) > LOG_WAIT)
+        let reads_fail = !self.log_up && now > self.log_down_since + LOG_SILENCE_MAX;
+        reads_fail
+            || self
+                .writers
+                .values()
+                .any(|writer| writer.waited(now) > LOG_SILENCE_MAX)
     }
 
-    /// Writes settlements down, asks ahead of demand, and gives back what others lack.
+    /// Records settlements, requests grants ahead of demand, and returns tokens that other routers lack.
     pub(super) fn maintain_accounts(&mut self) {
         let peers = self.membership.well(self.now).len() as u64;
         let every = MAINTENANCE_INTERVAL + Millis(MAINTENANCE_PER_PEER.0 * peers);
@@ -86,20 +91,21 @@
         self.last_maintenance = self.now;
         self.write_settlements();
         for key in self.holder.keys() {
-            self.ask_ahead(key, LOW_WITHIN + every);
+            self.request_ahead(key, REFILL_HORIZON + every);
             self.return_if_scarce(key);
         }
     }
 
+    /// Records the acknowledged settlements that the ledgers do not have yet.
     pub(super) fn write_settlements(&mut self) {
         let due: Vec<_> = self.holder.unrecorded(|key| self.grant(key)).collect();
         let me = self.incarnation();
         for (budget, settled) in due {
-            // A ledger that we have left has taken all bills, and our grant with them.
+            // A ledger that this incarnation has left has all its bills, and has taken back its grant.
             if self.ledger(budget.shard).sequence().is_gone(me) {
                 continue;
             }
-            let same = |record: &Record| match record {
+            let is_same = |record: &Record| match record {
                 Record::Settle {
                     budget: known,
                     settled: total,
@@ -107,13 +113,14 @@
                 _ => false,
             };
             let writer = self.writer(budget.stream());
-            if !writer.holds(same) {
+            if !writer.holds(is_same) {
                 writer.push(Record::Settle { budget, settled });
             }
         }
     }
 
-    fn ask_ahead(&mut self, key: BudgetKey, within: Millis) {
+    /// Requests a grant if the tokens held will not last for `within` at the current demand.
+    fn request_ahead(&mut self, key: BudgetKey, within: Millis) {
         let now = self.now;
         let grant = self.grant(key);
         if self.stopping || !self.holder.runs_low(now, key, grant, within) {
@@ -122,28 +129,28 @@
         let Some(budget) = self.ledger(key.shard).budget(key.index) else {
             return;
         };
-        let (left, holders) = (budget.unallotted, budget.grants.len());
-        if left > Tokens::ZERO {
-            let ask = self.holder.ask(now, key, Tokens(1), left, holders);
-            self.ask_for(key, ask.min(left));
+        let (unallotted, holders) = (budget.unallotted, budget.grants.len());
+        if unallotted > Tokens::ZERO {
+            let amount = self.holder.ask(now, key, Tokens(1), unallotted, holders);
+            self.write_grant_request(key, amount.min(unallotted));
         }
     }
 
-    /// Gives back what lies idle where somebody got less than it asked for, and all that is free
-    /// while a smaller budget waits for returns.
+    /// Returns idle tokens if a router was granted less of the budget than it requested. Returns all free tokens
+    /// while a reduction of the budget waits for returns.
     fn return_if_scarce(&mut self, key: BudgetKey) {
         let Some(budget) = self.ledger(key.shard).budget(key.index) else {
             return;
         };
-        let owed = budget.prepaid > budget.terms.prepaid;
+        let is_reduction_pending = budget.prepaid > budget.terms.prepaid;
         let scarce = budget.scarce;
         let seen = self.scarce_seen.get(&key).copied();
-        if !owed && (scarce.is_none() || seen >= scarce) {
+        if !is_reduction_pending && (scarce.is_none() || seen >= scarce) {
             return;
         }
         self.scarce_seen.extend(scarce.map(|scarce| (key, scarce)));
         let grant = self.grant(key);
-        let returned = if owed {
+        let returned = if is_reduction_pending {
             self.holder.return_all(key, grant)
         } else {
             self.holder.return_idle(self.now, key, grant)
@@ -157,18 +164,18 @@
         }
     }
 
-    /// Budgets of a shard may have changed: whoever waits for a grant tries again.
-    pub(super) fn ledger_moved(&mut self, shard: u8) {
+    /// Handles a change of a shard's ledger: returns what its budgets lack, and tries the waiting requests again.
+    pub(super) fn ledger_changed(&mut self, shard: u8) {
         let keys = self.holder.keys();
         for key in keys.into_iter().filter(|key| key.shard == shard) {
             self.return_if_scarce(key);
         }
-        self.pump();
+        self.start_queued();
     }
 
-    /// The last records of a planned stop: all bills, then that we are gone.
+    /// Writes the last records of a planned stop: all settlements, then the leave records.
     pub(super) fn write_leave(&mut self) {
-        self.left = true;
+        self.has_left = true;
         self.write_settlements();
         let me = self.incarnation();
         for stream in Stream::all() {
@@ -177,8 +184,8 @@
                 Stream::Shard(shard) => self.ledger(shard).sequence().member(me),
             };
             let writer = self.writer(stream);
-            let wrote = known.gone.is_none() && (known.seq > 0 || !writer.is_empty());
-            if wrote && !writer.holds(|record| matches!(record, Record::Leave)) {
+            let has_written = known.gone.is_none() && (known.seq > 0 || !writer.is_empty());
+            if has_written && !writer.holds(|record| matches!(record, Record::Leave)) {
                 writer.push(Record::Leave);
             }
         }
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -1,9 +1,9 @@
-//! Operators: plans, confirms, status, and the planned stop.
+//! Operators' requests: plans, confirms and status; and the planned stop.
 
 use rand::RngExt;
 
 use super::action::{StatusBudget, Token};
-use super::state::Confirming;
+use super::state::PendingConfirm;
 use super::{Action, State, Status, StatusPeer};
 use crate::router::budget::{Budget, Witness};
 use crate::router::config::{Intent, World, plan};
@@ -12,13 +12,16 @@
 use crate::router::log::Record;
 use crate::units::Millis;
 
-/// A confirm that is not read back within this is answered so; it may be repeated.
+/// A confirmed plan that is not read back from the log within this time is answered without an outcome; the
+/// operator may repeat the confirm.
 const CONFIRM_WAIT: Millis = Millis(8_000);
-/// A stopping router whose streams are done waits this long for the log.
+/// Longest time that a stopping router, once it has no request in progress, waits for its accounts to reach the
+/// log and for its wards.
 const STOP_WAIT: Millis = Millis(30_000);
 
 impl State {
-    pub(super) fn intent(&mut self, token: Token, intent: &Intent) {
+    /// Answers an operator's intent with a plan.
+    pub(super) fn plan_intent(&mut self, token: Token, intent: &Intent) {
         let id = self.rng.random();
         let world = World {
             config: self.config.state(),
@@ -28,7 +31,8 @@
         self.actions.push(Action::Planned { token, result });
     }
 
-    pub(super) fn confirm(&mut self, token: Token, plan: Plan) {
+    /// Writes a confirmed plan to the log; its outcome is answered once it is read back.
+    pub(super) fn confirm_plan(&mut self, token: Token, plan: Plan) {
         if let Some(outcome) = self.outcome(&plan) {
             let outcome = Some(outcome);
             self.actions.push(Action::Confirmed { token, outcome });
@@ -36,7 +40,7 @@
         }
         let id = plan.id;
         let stream = plan.stream;
-        let same = |record: &Record| matches!(record, Record::Change(known) if known.id == id);
+        let is_same = |record: &Record| matches!(record, Record::Change(known) if known.id == id);
         let Some(writer) = self.writers.get_mut(&stream) else {
             self.actions.push(Action::Confirmed {
                 token,
@@ -44,11 +48,11 @@
             });
             return;
         };
-        if !writer.holds(same) {
+        if !writer.holds(is_same) {
             writer.push(Record::Change(plan.clone()));
         }
         let since = self.now;
-        self.confirming.push(Confirming { token, plan, since });
+        self.confirming.push(PendingConfirm { token, plan, since });
     }
 
     fn outcome(&self, plan: &Plan) -> Option<Outcome> {
@@ -59,34 +63,36 @@
         }
     }
 
-    /// Answers confirms that have been read back.
+    /// Answers the confirms whose plans have been read back.
     pub(super) fn answer_confirms(&mut self) {
         let confirming = std::mem::take(&mut self.confirming);
-        for one in confirming {
-            match self.outcome(&one.plan) {
+        for pending in confirming {
+            match self.outcome(&pending.plan) {
                 Some(outcome) => {
-                    let (token, outcome) = (one.token, Some(outcome));
+                    let (token, outcome) = (pending.token, Some(outcome));
                     self.actions.push(Action::Confirmed { token, outcome });
                 }
-                None => self.confirming.push(one),
+                None => self.confirming.push(pending),
             }
         }
     }
 
+    /// Answers the confirms whose plans were not read back in time.
     pub(super) fn expire_confirms(&mut self) {
         let now = self.now;
         let confirming = std::mem::take(&mut self.confirming);
-        let (late, waiting) = confirming
+        let (expired, waiting) = confirming
             .into_iter()
-            .partition(|one| now > one.since + CONFIRM_WAIT);
+            .partition(|pending| now > pending.since + CONFIRM_WAIT);
         self.confirming = waiting;
-        for one in late {
-            let (token, outcome) = (one.token, None);
+        for pending in expired {
+            let (token, outcome) = (pending.token, None);
             self.actions.push(Action::Confirmed { token, outcome });
         }
     }
 
-    pub(super) fn stop(&mut self) {
+    /// Begins a planned stop: refuses the queued requests and announces at once that this router is leaving.
+    pub(super) fn begin_stop(&mut self) {
         self.stopping = true;
         self.stopping_since = self.now;
         let queued: Vec<_> = self
@@ -101,15 +107,15 @@
         self.send_heartbeats();
     }
 
-    /// Ends the process once nothing is in progress, the log has its accounts, and nobody needs it as a
-    /// witness. It leaves as a holder first: of two that stop together, neither waits for the other.
+    /// Ends the process once no request is in progress, the log has its accounts, and no router needs it as a
+    /// witness. It leaves as a holder first, so that two routers that stop together do not wait for each other.
     pub(super) fn finish_stop(&mut self) {
         if !self.stopping || self.exited || !self.jobs.is_empty() {
             self.stopping_since = self.now;
             return;
         }
-        let patient = self.now <= self.stopping_since + STOP_WAIT;
-        if patient && (!self.settling.is_empty() || !self.late.is_empty()) {
+        let is_within_wait = self.now <= self.stopping_since + STOP_WAIT;
+        if is_within_wait && (!self.settling.is_empty() || !self.past_settling.is_empty()) {
             return;
         }
         if self.settling.is_empty() {
@@ -117,15 +123,16 @@
         }
         let mut writers = self.writers.values().chain(self.past_writers.values());
         let is_written = writers.all(crate::router::log::Writer::is_empty);
-        if !patient || (is_written && !self.is_awaited()) {
+        if !is_within_wait || (is_written && !self.is_needed_as_witness()) {
             self.exited = true;
             self.actions.push(Action::Exit);
         }
     }
 
-    pub(super) fn status(&mut self, token: Token) {
+    /// Answers a status request.
+    pub(super) fn answer_status(&mut self, token: Token) {
         let me = self.membership.me();
-        let hex = |one: crate::router::key::Incarnation| one.to_string();
+        let hex = |incarnation: crate::router::key::Incarnation| incarnation.to_string();
         let peers = self.membership.peers(self.now);
         let peers = peers.into_iter().map(|(peer, standing)| StatusPeer {
             entry: peer.entry,
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -1,8 +1,9 @@
-//! This router among the others: heartbeats, and its duties as a witness.
+//! Communication with the other routers: heartbeats, calls and replies, and this router's work as a witness for
+//! its wards, the holders that have named it.
 
 use super::action::Token;
 use super::decision::witness::{Ward, must_wait_for};
-use super::state::Asked;
+use super::state::PendingCall;
 use super::{Action, Call, State};
 use crate::router::budget::{Answer, Doubt, Replay, Resolved, Taken, Witness};
 use crate::router::host::Peer;
@@ -14,28 +15,29 @@
 
 /// Time between two rounds of heartbeats.
 const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
-/// Time between two rounds of forgetting.
-const PRUNE_EVERY: Millis = Millis(10_000);
-/// A ward silent for this long, whose ledgers name another witness, is forgotten.
+/// Time between two rounds of dropping expired state.
+const PRUNE_INTERVAL: Millis = Millis(10_000);
+/// A ward that is silent for longer than this and not closed, since its ledgers name another witness, is
+/// forgotten.
 const FORGET_AFTER: Millis = Millis(3_600_000);
-/// The same for a ward that has named an earlier incarnation of this process.
+/// The same for a ward that has named an earlier incarnation of this process as its witness.
 const PAST_FORGET_AFTER: Millis = Millis(60_000);
-/// Time between two rounds of questions to targets about requests in doubt.
-const INQUIRE_EVERY: Millis = Millis(1_000);
-/// Questions in a round.
-const INQUIRIES: usize = 64;
-/// Concurrency of a customer that gets a wider set of entry hosts.
-const LARGE: u32 = 256;
-/// A router behind the log asks a peer for its state this often.
-const STATE_EVERY: Millis = Millis(1_000);
+/// Time between two rounds of inquiries to targets about requests in doubt.
+const INQUIRY_INTERVAL: Millis = Millis(1_000);
+/// Most inquiries in one round.
+const INQUIRIES_PER_ROUND: usize = 64;
+/// Concurrency for which a customer's set of entry hosts is widened by one more share.
+const CONCURRENCY_PER_ENTRY_SHARE: u32 = 256;
+/// Time between two state requests to peers, while this router is behind the log.
+const STATE_REQUEST_INTERVAL: Millis = Millis(1_000);
 
-/// A holder that a ledger has under this process.
+/// A holder whose witness, according to a ledger, is this process.
 #[derive(Clone, Copy, Debug)]
-struct Named {
-    /// The incarnation of this process that it has named.
+struct NamedWard {
+    /// The incarnation of this process that the holder has named.
     witness: Incarnation,
     holder: Incarnation,
-    /// When it was last heard.
+    /// When the holder was last heard from.
     heard: Millis,
 }
 
@@ -46,48 +48,53 @@
             return;
         }
         self.last_heartbeat = self.now;
-        self.greet_witnesses();
+        self.queue_keepalives();
         let (epoch, applied) = (self.epoch(), self.config.applied());
         let leaving = self.stopping;
         let me = self.membership.me_mut();
         me.epoch = epoch;
         me.applied = applied;
         me.leaving = leaving;
-        let mut told = self.membership.round(self.now, &mut self.rng);
+        let mut receivers = self.membership.round(self.now, &mut self.rng);
         let me = self.incarnation();
         let wards = self.named_wards();
         let to_move = wards.filter(|ward| leaving || ward.witness != me);
-        told.extend(to_move.filter_map(|ward| self.membership.address_of(ward.holder)));
-        told.sort_unstable();
-        told.dedup();
-        for to in told {
+        receivers.extend(to_move.filter_map(|ward| self.membership.address_of(ward.holder)));
+        receivers.sort_unstable();
+        receivers.dedup();
+        for to in receivers {
             let peers = self.membership.tell(self.now, &mut self.rng);
-            self.call(to, Asked::Heartbeat, Request::Heartbeat { peers });
+            self.call(to, PendingCall::Heartbeat, Request::Heartbeat { peers });
         }
-        self.ask_for_state();
+        self.request_state();
     }
 
-    /// A router that cannot read the log takes its state from a peer that could.
-    fn ask_for_state(&mut self) {
-        let behind = !self.is_ready() || !self.log_up;
-        if !behind || self.now < self.last_peer_state + STATE_EVERY {
+    /// Requests the state of the streams from a peer while this router has not read them or cannot read the log.
+    fn request_state(&mut self) {
+        let is_behind = !self.is_ready() || !self.log_up;
+        if !is_behind || self.now < self.last_peer_state + STATE_REQUEST_INTERVAL {
             return;
         }
         self.last_peer_state = self.now;
-        let well = self.membership.well(self.now);
-        let Some(peer) = well.into_iter().max_by_key(|peer| peer.applied) else {
+        let healthy = self.membership.well(self.now);
+        let Some(peer) = healthy.into_iter().max_by_key(|peer| peer.applied) else {
             return;
         };
         let address = peer.address;
         for stream in Stream::all() {
-            self.call(address, Asked::State(stream), Request::State { stream });
+            self.call(
+                address,
+                PendingCall::State(stream),
+                Request::State { stream },
+            );
         }
     }
 
-    pub(super) fn asked(&mut self, token: Token, request: Request) {
+    /// Answers a request of a peer.
+    pub(super) fn answer_peer(&mut self, token: Token, request: Request) {
         let reply = match request {
             Request::Heartbeat { peers } => {
-                self.hear(&peers);
+                self.record_peers(&peers);
                 let peers = self.membership.tell(self.now, &mut self.rng);
                 Reply::Heartbeat { peers }
             }
@@ -98,7 +105,7 @@
                 holder,
                 seq,
                 asks,
-            } => Reply::Ward(self.answer_ward(to, holder, seq, asks)),
+            } => Reply::Ward(self.answer_notices(to, holder, seq, asks)),
             Request::Take {
                 id,
                 shard,
@@ -114,13 +121,13 @@
         self.actions.push(Action::Answer { token, reply });
     }
 
-    /// Which addresses a customer should use, with what to make ids of there.
-    pub(super) fn entry(&mut self, token: Token, customer: &str) {
-        let most = self
+    /// Answers which addresses a customer should use, with the id prefix for each.
+    pub(super) fn answer_entry(&mut self, token: Token, customer: &str) {
+        let concurrency = self
             .config()
             .customer(customer)
             .map_or(0, |c| c.concurrency);
-        let share = 1 + (most / LARGE) as usize;
+        let share = 1 + (concurrency / CONCURRENCY_PER_ENTRY_SHARE) as usize;
         let me = self.prefix();
         let peers = self.membership.entries(self.now, customer, share);
         let entries = peers
@@ -138,42 +145,49 @@
         self.actions.push(Action::Entries { token, entries });
     }
 
-    fn hear(&mut self, peers: &[Peer]) {
+    fn record_peers(&mut self, peers: &[Peer]) {
         for peer in peers {
             self.membership.heard(self.now, peer);
         }
     }
 
-    pub(super) fn replied(&mut self, call: Call, reply: Option<Reply>) {
-        let Some(asked) = self.calls.remove(&call) else {
+    /// Handles the reply to a call, or the failure of the call.
+    pub(super) fn handle_reply(&mut self, call: Call, reply: Option<Reply>) {
+        let Some(purpose) = self.calls.remove(&call) else {
             return;
         };
-        match (asked, reply) {
-            (Asked::Heartbeat, Some(Reply::Heartbeat { peers })) => self.hear(&peers),
-            (Asked::Heartbeat, _) => {}
-            (Asked::Ward(key), reply) => self.witness_replied(key, call, reply),
-            (Asked::Take(ticket), Some(Reply::Taken(taken))) => self.judged(ticket, taken),
-            (Asked::Take(ticket), _) => self.judged(ticket, Taken::Unknown),
-            (Asked::State(stream), Some(Reply::State(checkpoint))) => {
+        match (purpose, reply) {
+            (PendingCall::Heartbeat, Some(Reply::Heartbeat { peers })) => self.record_peers(&peers),
+            (PendingCall::Heartbeat, _) => {}
+            (PendingCall::Ward(key), reply) => self.handle_witness_reply(key, call, reply),
+            (PendingCall::Takeover(ticket), Some(Reply::Taken(taken))) => {
+                self.handle_takeover_answer(ticket, taken)
+            }
+            (PendingCall::Takeover(ticket), _) => {
+                self.handle_takeover_answer(ticket, Taken::Unknown)
+            }
+            (PendingCall::State(stream), Some(Reply::State(checkpoint))) => {
                 self.restore(stream, &checkpoint);
             }
-            (Asked::State(_), _) => {}
+            (PendingCall::State(_), _) => {}
         }
     }
 
-    /// Whether this process answers a holder under a name. Under an earlier incarnation it keeps the
-    /// wards that it has, and takes on no more.
+    /// Whether this process answers a holder as its witness under the incarnation `name`. Under an earlier
+    /// incarnation it keeps the wards that it has and accepts no others.
     fn is_witness_of(&self, name: Incarnation, holder: Incarnation) -> bool {
         let witness = self.witnesses.get(&name);
         name == self.incarnation() || witness.is_some_and(|witness| witness.has(holder))
     }
 
-    fn answer_ward(
+    /// Applies a ward's notices and answers them. A repeated call gets the same answers again, an outdated one
+    /// none.
+    fn answer_notices(
         &mut self,
         name: Incarnation,
         holder: Incarnation,
         seq: u64,
-        asks: Vec<Notice>,
+        notices: Vec<Notice>,
     ) -> Vec<Answer> {
         let now = self.now;
         let Some(witness) = self.witnesses.get_mut(&name) else {
@@ -183,9 +197,9 @@
             Replay::Again(answers) => answers,
             Replay::Stale => Vec::new(),
             Replay::New => {
-                let asks = asks.into_iter();
-                let answers: Vec<Answer> = asks
-                    .map(|ask| answer_ask(witness, now, holder, ask))
+                let notices = notices.into_iter();
+                let answers: Vec<Answer> = notices
+                    .map(|notice| apply_notice(witness, now, holder, notice))
                     .collect();
                 witness.answered(holder, seq, &answers);
                 answers
@@ -193,8 +207,8 @@
         }
     }
 
-    /// Judges a takeover. Only a witness whose close, or whose ward's leave, the ledger has taken
-    /// may do so: nothing can be dispatched under that incarnation any more.
+    /// Decides a takeover as the witness of the lost incarnation. A witness may do so only once the ledger has
+    /// applied its close or its ward's leave: nothing can be dispatched under that incarnation any more.
     pub(super) fn take_over(
         &mut self,
         id: Id,
@@ -209,8 +223,8 @@
         if member.gone.is_none() {
             return Taken::Alive;
         }
-        let judge = member.witness;
-        let Some(witness) = judge.and_then(|name| self.witnesses.get_mut(&name)) else {
+        let named = member.witness;
+        let Some(witness) = named.and_then(|name| self.witnesses.get_mut(&name)) else {
             return Taken::Unknown;
         };
         witness.close(self.now, id.incarnation);
@@ -219,8 +233,8 @@
         taken
     }
 
-    /// Closes wards that have gone silent. The clock only decides when this is tried: a close
-    /// counts if the ledger still names this router as the witness.
+    /// Closes wards that are silent for too long, and forgets those that no longer need this witness. The clock only
+    /// decides when a close is tried: it counts if the ledger still names this router as the witness.
     pub(super) fn watch_wards(&mut self) {
         let now = self.now;
         for (name, holder) in self.silent_wards(self.settings.close_after) {
@@ -244,7 +258,8 @@
         self.write_closes();
     }
 
-    /// Wards that have been silent for `span` and are not closed, with the name that they know.
+    /// Wards that are silent for longer than `span` and not closed, as pairs of the incarnation of this process
+    /// that the ward has named and the ward.
     fn silent_wards(&self, span: Millis) -> Vec<(Incarnation, Incarnation)> {
         let witnesses = self.witnesses.iter();
         let silent = witnesses.flat_map(|(name, witness)| {
@@ -254,14 +269,14 @@
         silent.collect()
     }
 
-    /// Asks the targets of closed wards' requests what became of them.
+    /// Asks targets for the outcome of requests that closed wards had dispatched to them.
     pub(super) fn inquire(&mut self) {
-        if self.now < self.last_inquiry + INQUIRE_EVERY {
+        if self.now < self.last_inquiry + INQUIRY_INTERVAL {
             return;
         }
         self.last_inquiry = self.now;
         let doubts = self.witnesses.values().flat_map(Witness::doubtful);
-        for doubt in doubts.take(INQUIRIES) {
+        for doubt in doubts.take(INQUIRIES_PER_ROUND) {
             self.actions.push(Action::Inquire {
                 id: doubt.id,
                 request: doubt.reservation.request,
@@ -270,48 +285,48 @@
         }
     }
 
-    /// A target has told that a request of a closed ward is done.
-    pub(super) fn take_fate(&mut self, id: Id, used: Tokens) {
+    /// Records a target's report that a request of a closed ward is done.
+    pub(super) fn record_target_outcome(&mut self, id: Id, used: Tokens) {
         for witness in self.witnesses.values_mut() {
             witness.told(id, used);
         }
         self.write_closes();
     }
 
-    /// Holders that a ledger has under this process.
-    fn named_wards(&self) -> impl Iterator<Item = Named> {
+    /// Wards whose witness, according to a ledger, is this process.
+    fn named_wards(&self) -> impl Iterator<Item = NamedWard> {
         let wards = self.witnesses.iter().flat_map(|(name, witness)| {
             let holders = witness.holders();
-            holders.map(|(holder, heard)| Named {
+            holders.map(|(holder, heard)| NamedWard {
                 witness: *name,
                 holder,
                 heard,
             })
         });
-        wards.filter(|one| {
-            (0..SHARDS).any(|shard| self.is_witness_in(shard, one.witness, one.holder))
+        wards.filter(|ward| {
+            (0..SHARDS).any(|shard| self.is_witness_in(shard, ward.witness, ward.holder))
         })
     }
 
-    /// Whether tokens stay held, or in doubt, if this router ends now.
-    pub(super) fn is_awaited(&self) -> bool {
+    /// Whether tokens would stay held or in doubt if this router ended now.
+    pub(super) fn is_needed_as_witness(&self) -> bool {
         let others = self.membership.well(self.now);
         let mut wards = self.named_wards().map(|named| Ward {
             silent_for: self.now.saturating_sub(named.heard),
             has_other: others.iter().any(|peer| peer.incarnation != named.holder),
         });
         let mut witnesses = self.witnesses.iter();
-        let is_judge = |name| move |doubt: Doubt| self.is_judge_of(name, doubt.id, doubt.budget);
+        let decides = |name| move |doubt: Doubt| self.decides_doubt(name, doubt.id, doubt.budget);
         wards.any(|ward| must_wait_for(&ward))
-            || witnesses.any(|(name, one)| one.doubtful().into_iter().any(is_judge(*name)))
+            || witnesses.any(|(name, witness)| witness.doubtful().into_iter().any(decides(*name)))
     }
 
-    /// Whether a request is in doubt, and the word of this process under a name decides it.
-    fn is_judge_of(&self, name: Incarnation, id: Id, budget: BudgetKey) -> bool {
+    /// Whether a request is in doubt and this process, as the witness `name`, decides its outcome.
+    fn decides_doubt(&self, name: Incarnation, id: Id, budget: BudgetKey) -> bool {
         let ledger = self.ledger(budget.shard);
-        let judge = ledger.sequence().member(id.incarnation).witness;
+        let witness = ledger.sequence().member(id.incarnation).witness;
         let key = (id.incarnation, id.nonce);
-        judge == Some(name)
+        witness == Some(name)
             && ledger
                 .budget(budget.index)
                 .is_some_and(|budget| budget.doubt.contains_key(&key))
@@ -322,17 +337,17 @@
         member.gone.is_none() && member.witness == Some(name)
     }
 
-    /// The outbox of this process as a witness under a name.
+    /// The log writer of this process as the witness `name`.
     fn witness_writer(&mut self, name: Incarnation, shard: u8) -> &mut Writer {
         let stream = Stream::Shard(shard);
         if name == self.incarnation() {
             return self.writer(stream);
         }
         let writer = self.past_writers.get_mut(&(name, stream));
-        writer.expect("a writer each stream of a past incarnation")
+        writer.expect("every stream has a writer for each earlier incarnation that is a witness")
     }
 
-    /// Drops earlier incarnations that nobody needs as a witness any more.
+    /// Drops earlier incarnations that have no wards any more.
     pub(super) fn drop_past(&mut self) {
         let me = self.incarnation();
         self.witnesses
@@ -344,7 +359,7 @@
             .drop_past(|name| witnesses.contains_key(&name));
     }
 
-    /// Writes closes, and the bills decided since, until the ledgers have them.
+    /// Writes closes, and the bills decided after them, until the ledgers have applied them.
     fn write_closes(&mut self) {
         let names: Vec<Incarnation> = self.witnesses.keys().copied().collect();
         for name in names {
@@ -362,11 +377,10 @@
     }
 
     fn write_close(&mut self, shard: u8, name: Incarnation, holder: Incarnation) {
-        let same =
-            |record: &Record| matches!(record, Record::Close { holder: one, .. } if *one == holder);
+        let is_same = |record: &Record| matches!(record, Record::Close { holder: closed, .. } if *closed == holder);
         let budgets = self.witnesses[&name].report(holder, shard);
         let writer = self.witness_writer(name, shard);
-        if !writer.holds(same) {
+        if !writer.holds(is_same) {
             writer.push(Record::Close { holder, budgets });
         }
     }
@@ -378,16 +392,16 @@
             return;
         }
         let key = (id.incarnation, id.nonce);
-        if !self.is_judge_of(name, id, budget) {
+        if !self.decides_doubt(name, id, budget) {
             if let Some(witness) = self.witnesses.get_mut(&name) {
                 witness.written(id);
             }
             return;
         }
         let (holder, nonce) = key;
-        let same = |record: &Record| matches!(record, Record::Resolve { holder: h, nonce: n, .. } if (*h, *n) == key);
+        let is_same = |record: &Record| matches!(record, Record::Resolve { holder: h, nonce: n, .. } if (*h, *n) == key);
         let writer = self.witness_writer(name, budget.shard);
-        if !writer.holds(same) {
+        if !writer.holds(is_same) {
             writer.push(Record::Resolve {
                 holder,
                 nonce,
@@ -397,7 +411,7 @@
     }
 
     pub(super) fn prune(&mut self) {
-        if self.now < self.last_prune + PRUNE_EVERY {
+        if self.now < self.last_prune + PRUNE_INTERVAL {
             return;
         }
         self.last_prune = self.now;
@@ -408,19 +422,19 @@
         }
         self.drop_past();
         let jobs = &self.jobs;
-        let gone = self.table.prune(epoch, |ticket| jobs.contains_key(&ticket));
-        if !gone.is_empty() {
-            self.actions.push(Action::Forget(gone));
+        let forgotten = self.table.prune(epoch, |ticket| jobs.contains_key(&ticket));
+        if !forgotten.is_empty() {
+            self.actions.push(Action::Forget(forgotten));
         }
     }
 }
 
-fn answer_ask(witness: &mut Witness, now: Millis, holder: Incarnation, ask: Notice) -> Answer {
+fn apply_notice(witness: &mut Witness, now: Millis, holder: Incarnation, notice: Notice) -> Answer {
     let id = |nonce| Id {
         incarnation: holder,
         nonce,
     };
-    match ask {
+    match notice {
         Notice::Adopt(ward) => witness.adopt(now, holder, ward),
         Notice::Open {
             nonce,
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -1,4 +1,4 @@
-//! The state itself, and which part of it takes which input.
+//! The control state itself, and the dispatch of inputs to its parts.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
@@ -22,31 +22,31 @@
 };
 use crate::units::{Millis, Offset};
 
-/// Numbers in our accounts of requests that were taken over start here. Those of callers are below
-/// 2^31, and those that the caller's side gives to requests without an id lie between.
-pub(super) const OWN_NUMBERS: u32 = 3 << 30;
+/// Start of the numbers that requests taken over get in this router's own accounts. Callers' numbers are below
+/// 2^31, and the numbers generated for requests without an id lie between.
+pub(super) const TAKEOVER_NUMBERS_START: u32 = 3 << 30;
 
-/// What is fixed for the life of a process.
+/// Settings, fixed for the life of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This router as the others are told of it.
+    /// This router, as announced to the others.
     pub me: Peer,
-    /// Seed of all draws.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Size of grants.
+    /// How large grants are requested.
     pub sizing: Sizing,
     /// Limits of each queue.
     pub bound: Bound,
-    /// Least time between two appends of this router to a stream.
+    /// Shortest time between two appends of this router to a stream.
     pub append_gap: Millis,
-    /// A ward silent for this long is closed.
+    /// A ward (a holder that this router is the witness of) that is silent for longer than this is closed.
     pub close_after: Millis,
-    /// Appends to a stream between two checkpoints.
+    /// Appends to a stream from one checkpoint until the next is due.
     pub checkpoint_every: u64,
 }
 
 impl Settings {
-    /// The defaults for one router.
+    /// Default settings for one router.
     pub fn new(me: Peer, seed: u64) -> Self {
         Self {
             me,
@@ -60,96 +60,96 @@
     }
 }
 
-/// A link by holder and witness; the holder may be an earlier incarnation of this process.
+/// Key of a link: holder and witness. The holder may be an earlier incarnation of this process.
 pub(super) type LinkKey = (Incarnation, Incarnation);
 
-/// What a call of ours was about.
+/// What an unanswered call to another router is for.
 #[derive(Clone, Debug)]
-pub(super) enum Asked {
+pub(super) enum PendingCall {
     Heartbeat,
     Ward(LinkKey),
-    Take(Ticket),
+    Takeover(Ticket),
     State(Stream),
 }
 
-/// A confirm that waits to be read back.
+/// A confirmed plan that waits to be read back from the log.
 #[derive(Clone, Debug)]
-pub(super) struct Confirming {
+pub(super) struct PendingConfirm {
     pub token: Token,
     pub plan: Plan,
     pub since: Millis,
 }
 
-/// A checkpoint that this router will write unless another does first.
+/// A checkpoint that this router will write unless another router does first.
 #[derive(Clone, Debug)]
-pub(super) struct Due {
+pub(super) struct PendingCheckpoint {
     pub checkpoint: Checkpoint,
-    pub at: Millis,
+    pub due_at: Millis,
 }
 
 /// The control state of one router.
 #[derive(Debug)]
 pub struct State {
     pub(super) settings: Settings,
-    /// Source of all draws, seeded.
+    /// The only source of randomness, seeded from the settings.
     pub(super) rng: StdRng,
-    /// The latest time that an input came with.
+    /// The latest time passed with an input.
     pub(super) now: Millis,
-    /// What the input under way wants done.
+    /// Actions requested by the input that is being handled.
     pub(super) actions: Vec<Action>,
 
     /// The configuration, folded from its stream.
     pub(super) config: Follower<Config>,
     /// The budgets, folded from the shards' streams, by shard.
     pub(super) ledgers: Vec<Follower<Ledger>>,
-    /// Records of ours that are not read back yet.
+    /// This incarnation's records that are not read back yet, by stream.
     pub(super) writers: BTreeMap<Stream, Writer>,
-    /// Streams that were read to their end at least once.
+    /// Streams that were read to their end at least once, or taken from a peer.
     pub(super) caught_up: BTreeSet<Stream>,
-    /// Whether the log answered last.
+    /// Whether the log answered the last read.
     pub(super) log_up: bool,
-    /// Since when it has not.
+    /// When the log last stopped answering.
     pub(super) log_down_since: Millis,
-    /// Checkpoints that this router writes unless another does first.
-    pub(super) checkpoints: BTreeMap<Stream, Due>,
+    /// Checkpoints that this router will write unless another router does first.
+    pub(super) checkpoints: BTreeMap<Stream, PendingCheckpoint>,
 
-    /// What this incarnation may spend, has reserved and settled.
+    /// What this incarnation may spend, has reserved and has settled.
     pub(super) holder: Holder,
     /// Where this incarnation's first epoch began.
     pub(super) epochs_began: Millis,
-    /// The next number for a request that has none of its own here.
-    pub(super) next_number: u32,
+    /// The last number given to a request that was taken over.
+    pub(super) last_takeover_number: u32,
     /// Channels to the witnesses of this and earlier incarnations.
     pub(super) links: BTreeMap<LinkKey, Link>,
-    /// Links made so far, so that late calls of earlier ones are told apart.
+    /// Links made so far. It numbers them, so that a delayed call of an earlier link is recognised.
     pub(super) link_count: u32,
-    /// Requests whose bill is not acknowledged by all witnesses yet, by number.
+    /// Requests whose settlement is not acknowledged by all witnesses yet, by number.
     pub(super) settling: BTreeMap<u64, Settling>,
-    /// Requests that earlier incarnations of this process left running, by id in their accounts.
-    pub(super) late: BTreeMap<Id, Settling>,
-    /// What this process keeps for other holders, by the incarnation of its own that they have named.
-    /// That it was closed as a holder changes nothing in what it knows of its wards, so it stays their
-    /// witness under the name that the ledgers have.
+    /// Settlements of requests of earlier incarnations of this process, by id in the earlier accounts.
+    pub(super) past_settling: BTreeMap<Id, Settling>,
+    /// What this process keeps for its wards, by the incarnation of this process that they have named as their
+    /// witness. Being closed as a holder does not affect what it keeps for them, so it stays their witness under
+    /// the incarnation that the ledgers name.
     pub(super) witnesses: BTreeMap<Incarnation, Witness>,
-    /// Outboxes of earlier incarnations that are still witnesses.
+    /// Log writers of earlier incarnations that are still witnesses.
     pub(super) past_writers: BTreeMap<(Incarnation, Stream), Writer>,
-    /// Where each budget last ran short, as far as this router has acted on it.
+    /// The offset of each budget's last shortage that this router has acted on.
     pub(super) scarce_seen: HashMap<BudgetKey, Offset>,
-    /// When each budget was last asked for.
-    pub(super) asked_at: HashMap<BudgetKey, Millis>,
+    /// When this router last requested a grant from each budget.
+    pub(super) grant_requested_at: HashMap<BudgetKey, Millis>,
 
-    /// Ids of requests, so that one that comes again is known.
+    /// Ids of known requests, by which retries are recognised.
     pub(super) table: Table,
-    /// Requests on their way.
+    /// Requests in progress.
     pub(super) jobs: BTreeMap<Ticket, Job>,
-    /// The same by number.
+    /// Tickets of requests that this incarnation has reserved tokens for, by number.
     pub(super) by_nonce: BTreeMap<u64, Ticket>,
-    /// Requests that wait, by what they need.
+    /// Waiting requests, by the kind and name of the target that they need.
     pub(super) queues: BTreeMap<(Kind, String), Queue>,
-    /// Requests in progress of each customer.
-    pub(super) busy: HashMap<String, u32>,
+    /// Number of requests in progress of each customer.
+    pub(super) jobs_by_customer: HashMap<String, u32>,
     /// The retry budget.
-    pub(super) retries: Budget,
+    pub(super) retry_budget: Budget,
 
     /// The targets.
     pub(super) pool: Pool,
@@ -158,32 +158,32 @@
 
     /// The number of the next call to another router.
     pub(super) next_call: Call,
-    /// What calls under way were about.
-    pub(super) calls: HashMap<Call, Asked>,
-    /// Confirms that are not read back yet.
-    pub(super) confirming: Vec<Confirming>,
-    /// Whether a planned stop has begun.
+    /// What each unanswered call is for.
+    pub(super) calls: HashMap<Call, PendingCall>,
+    /// Confirmed plans that are not read back from the log yet.
+    pub(super) confirming: Vec<PendingConfirm>,
+    /// Whether a planned stop is in progress.
     pub(super) stopping: bool,
-    /// Since when.
+    /// Since when the stop has had no request in progress.
     pub(super) stopping_since: Millis,
-    /// Whether this incarnation has written that it is gone.
-    pub(super) left: bool,
-    /// Whether the process was told to end.
+    /// Whether this incarnation has written its leave records.
+    pub(super) has_left: bool,
+    /// Whether [`Action::Exit`] was requested.
     pub(super) exited: bool,
-    /// When each of these was last done.
+    /// When the last round of heartbeats was sent; zero makes the next one due at once.
     pub(super) last_heartbeat: Millis,
     pub(super) last_maintenance: Millis,
     pub(super) last_prune: Millis,
     pub(super) last_peer_state: Millis,
     pub(super) last_inquiry: Millis,
-    /// Invariants that did not hold.
+    /// Number of invariant violations.
     pub(super) violations: u64,
-    /// Budgets that are not served any more, since an invariant of theirs did not hold.
+    /// Budgets that are not served any more because one of their invariants was violated.
     pub(super) suspended: BTreeSet<String>,
 }
 
 impl State {
-    /// A router that has just started and knows nothing.
+    /// The state of a router that has just started and has read nothing from the log.
     pub fn new(settings: Settings, now: Millis) -> Self {
         let me = settings.me.clone();
         let incarnation = me.incarnation;
@@ -196,7 +196,7 @@
                 .map(|_| Follower::default())
                 .collect(),
             writers: Stream::all()
-                .map(|s| (s, Writer::new(incarnation)))
+                .map(|stream| (stream, Writer::new(incarnation)))
                 .collect(),
             caught_up: BTreeSet::new(),
             log_up: true,
@@ -204,21 +204,21 @@
             checkpoints: BTreeMap::new(),
             holder: Holder::new(incarnation, settings.sizing),
             epochs_began: now,
-            next_number: OWN_NUMBERS,
+            last_takeover_number: TAKEOVER_NUMBERS_START,
             links: BTreeMap::new(),
             link_count: 0,
             settling: BTreeMap::new(),
-            late: BTreeMap::new(),
+            past_settling: BTreeMap::new(),
             witnesses: BTreeMap::from([(incarnation, Witness::default())]),
             past_writers: BTreeMap::new(),
             scarce_seen: HashMap::new(),
-            asked_at: HashMap::new(),
+            grant_requested_at: HashMap::new(),
             table: Table::default(),
             jobs: BTreeMap::new(),
             by_nonce: BTreeMap::new(),
             queues: BTreeMap::new(),
-            busy: HashMap::new(),
-            retries: Budget::default(),
+            jobs_by_customer: HashMap::new(),
+            retry_budget: Budget::default(),
             pool: Pool::default(),
             membership: Membership::new(me),
             next_call: 1,
@@ -226,7 +226,7 @@
             confirming: Vec::new(),
             stopping: false,
             stopping_since: now,
-            left: false,
+            has_left: false,
             exited: false,
             last_heartbeat: Millis::ZERO,
             last_maintenance: Millis::ZERO,
@@ -239,30 +239,31 @@
         }
     }
 
-    /// Takes one input in at `now`, which never goes back.
+    /// Handles one input at time `now` and returns the actions that it requests. An earlier `now` than before
+    /// counts as the latest one.
     pub fn handle(&mut self, now: Millis, input: Input) -> Vec<Action> {
         self.now = self.now.max(now);
         match input {
-            Input::Arrive(spec) => self.arrive(spec),
-            Input::Ended { ticket, end } => self.ended(ticket, end),
+            Input::Arrive(spec) => self.handle_arrival(spec),
+            Input::Ended { ticket, end } => self.handle_end(ticket, end),
             Input::Read {
                 stream,
                 first,
                 batches,
-            } => self.take_records(stream, first, &batches),
+            } => self.apply_records(stream, first, &batches),
             Input::LogUp(up) => self.set_log_up(up),
-            Input::Appended { stream, taken } => self.appended(stream, taken),
-            Input::Hosts(hosts) => self.take_hosts(&hosts),
-            Input::Report { address, running } => self.report(address, running),
-            Input::Asked { token, request } => self.asked(token, request),
-            Input::Replied { call, reply } => self.replied(call, reply),
-            Input::Intent { token, intent } => self.intent(token, &intent),
-            Input::Confirm { token, plan } => self.confirm(token, plan),
-            Input::Status { token } => self.status(token),
-            Input::Entry { token, customer } => self.entry(token, &customer),
-            Input::Fate { id, used } => self.take_fate(id, used),
+            Input::Appended { stream, taken } => self.handle_append_result(stream, taken),
+            Input::Hosts(hosts) => self.update_hosts(&hosts),
+            Input::Report { address, running } => self.update_target_load(address, running),
+            Input::Asked { token, request } => self.answer_peer(token, request),
+            Input::Replied { call, reply } => self.handle_reply(call, reply),
+            Input::Intent { token, intent } => self.plan_intent(token, &intent),
+            Input::Confirm { token, plan } => self.confirm_plan(token, plan),
+            Input::Status { token } => self.answer_status(token),
+            Input::Entry { token, customer } => self.answer_entry(token, &customer),
+            Input::Fate { id, used } => self.record_target_outcome(id, used),
             Input::Tick => self.tick(),
-            Input::Stop => self.stop(),
+            Input::Stop => self.begin_stop(),
         }
         self.flush();
         std::mem::take(&mut self.actions)
@@ -278,30 +279,30 @@
         self.write_checkpoints();
         self.send_heartbeats();
         self.prune();
-        self.pump();
+        self.start_queued();
         self.finish_stop();
     }
 
-    fn report(&mut self, address: std::net::SocketAddr, running: u32) {
+    fn update_target_load(&mut self, address: std::net::SocketAddr, running: u32) {
         if let Some(key) = self.pool.find(address) {
             self.pool.report(self.now, key, running);
-            self.pump();
+            self.start_queued();
         }
     }
 
-    fn take_hosts(&mut self, hosts: &[(std::net::SocketAddr, bool)]) {
+    fn update_hosts(&mut self, hosts: &[(std::net::SocketAddr, bool)]) {
         self.membership.list(hosts);
         for (address, leaving) in hosts {
             self.pool.set_leaving(*address, *leaving);
         }
     }
 
-    /// This process as of now.
+    /// The current incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
         self.holder.me()
     }
 
-    /// What callers make ids of.
+    /// The prefix from which callers make request ids.
     pub fn prefix(&self) -> Prefix {
         Prefix {
             incarnation: self.incarnation(),
@@ -309,16 +310,19 @@
         }
     }
 
-    /// The epoch of ids given out now; the first is 1.
+    /// The current epoch of request ids; the first is 1.
     pub(super) fn epoch(&self) -> u32 {
         let epochs = self.now.saturating_sub(self.epochs_began).0 / EPOCH_LENGTH.0;
         u32::try_from(epochs + 1).unwrap_or(u32::MAX)
     }
 
-    /// A number for a request that has none of its own in our accounts.
-    pub(super) fn own_nonce(&mut self) -> u64 {
-        self.next_number = self.next_number.checked_add(1).unwrap_or(OWN_NUMBERS);
-        self.prefix().with_number(self.next_number).nonce
+    /// A new number, in this incarnation's accounts, for a request that was taken over.
+    pub(super) fn takeover_nonce(&mut self) -> u64 {
+        self.last_takeover_number = self
+            .last_takeover_number
+            .checked_add(1)
+            .unwrap_or(TAKEOVER_NUMBERS_START);
+        self.prefix().with_number(self.last_takeover_number).nonce
     }
 
     /// The configuration in force here.
@@ -326,12 +330,12 @@
         self.config.state()
     }
 
-    /// A shard's ledger as far as it is applied.
+    /// A shard's ledger, up to the last offset applied.
     pub fn ledger(&self, shard: u8) -> &Ledger {
         self.ledgers[usize::from(shard)].state()
     }
 
-    /// How far a stream is applied.
+    /// The last offset of a stream that was applied.
     pub fn applied(&self, stream: Stream) -> Offset {
         match stream {
             Stream::Config => self.config.applied(),
@@ -339,7 +343,7 @@
         }
     }
 
-    /// Whether every stream has been read to its end once, or taken from a peer.
+    /// Whether every stream was read to its end at least once, or taken from a peer.
     pub fn is_ready(&self) -> bool {
         self.caught_up.len() == Stream::all().count()
     }
@@ -349,22 +353,24 @@
     }
 
     pub(super) fn writer(&mut self, stream: Stream) -> &mut Writer {
-        self.writers.get_mut(&stream).expect("a writer each stream")
+        self.writers
+            .get_mut(&stream)
+            .expect("every stream has a writer")
     }
 
     pub(super) fn call(
         &mut self,
         to: std::net::SocketAddr,
-        asked: Asked,
+        purpose: PendingCall,
         request: crate::router::message::Request,
     ) {
         let call = self.next_call;
         self.next_call += 1;
-        self.calls.insert(call, asked);
+        self.calls.insert(call, purpose);
         self.actions.push(Action::Call { call, to, request });
     }
 
-    pub(super) fn violated(&mut self, violation: Violation) {
+    pub(super) fn report_violation(&mut self, violation: Violation) {
         self.violations += 1;
         if let Violation::Conservation { budget, .. } | Violation::Overdrawn { budget, .. } =
             &violation
@@ -378,8 +384,8 @@
         self.actions.push(Action::Finish { ticket, verdict });
     }
 
-    /// When to come back, spread so that callers do not return together.
-    pub(super) fn not_run(&mut self, reason: Reason) -> Verdict {
+    /// The verdict "not run" with a randomised retry delay, so that callers do not all retry at once.
+    pub(super) fn not_run_verdict(&mut self, reason: Reason) -> Verdict {
         let base = match reason {
             Reason::BudgetExhausted => 30_000,
             Reason::Overloaded | Reason::TooLate | Reason::LogUnavailable => 2_000,
--- a/src/router/control/streams.rs
+++ b/src/router/control/streams.rs
@@ -1,20 +1,21 @@
-//! The log as this router follows and writes it.
+//! Applies what is read from the log, and writes marks, checkpoints and due appends.
 
 use rand::RngExt;
 
-use super::state::Due;
+use super::state::PendingCheckpoint;
 use super::{Action, State};
 use crate::router::key::Stream;
 use crate::router::log::{Batch, Checkpoint, Progress, Record};
 use crate::units::{Millis, Offset};
 
-/// Longest wait of a checkpoint's writer for somebody else to be first.
-const CHECKPOINT_JITTER: u64 = 2_000;
-/// Share of ticks at which a router whose stream is due sets a mark.
-const MARK_SHARE: f64 = 0.05;
+/// Longest random delay, in milliseconds, before a router writes a checkpoint; another may write it first.
+const CHECKPOINT_JITTER_MS: u64 = 2_000;
+/// Probability that a router writes a mark, at each tick while a stream is due for a checkpoint.
+const MARK_PROBABILITY: f64 = 0.05;
 
 impl State {
-    pub(super) fn take_records(
+    /// Applies records that were read from a stream.
+    pub(super) fn apply_records(
         &mut self,
         stream: Stream,
         first: Offset,
@@ -24,79 +25,82 @@
             Stream::Config => self.config.take(first, batches),
             Stream::Shard(shard) => self.ledgers[usize::from(shard)].take(first, batches),
         };
-        // A reader behind the log's retention that has found no checkpoint knows nothing yet.
+        // If the log no longer has the next offset and no checkpoint was found, the state is not usable yet.
         if self.applied(stream) + Offset(1) >= first {
             self.caught_up.insert(stream);
         }
-        self.took(stream, progress, !batches.is_empty());
+        self.apply_progress(stream, progress, !batches.is_empty());
     }
 
-    /// Takes a stream's state over from a peer.
+    /// Restores a stream's state from a peer's snapshot.
     pub(super) fn restore(&mut self, stream: Stream, checkpoint: &Checkpoint) {
         let restored = match stream {
             Stream::Config => self.config.restore(checkpoint),
             Stream::Shard(shard) => self.ledgers[usize::from(shard)].restore(checkpoint),
         };
-        // An empty stream has nothing to restore, and its reader is at its end.
+        // An empty stream has nothing to restore and counts as read to its end.
         if restored || checkpoint.through == self.applied(stream) {
             self.caught_up.insert(stream);
         }
-        self.took(stream, Progress::default(), restored);
+        self.apply_progress(stream, Progress::default(), restored);
     }
 
-    fn took(&mut self, stream: Stream, progress: Progress, moved: bool) {
+    fn apply_progress(&mut self, stream: Stream, progress: Progress, has_advanced: bool) {
         for violation in progress.violations {
-            self.violated(violation);
+            self.report_violation(violation);
         }
         if progress.checkpointed {
             self.checkpoints.remove(&stream);
         }
         if let Some(checkpoint) = progress.marked {
-            let wait = Millis(self.rng.random_range(0..=CHECKPOINT_JITTER));
-            let at = self.now + wait;
-            self.checkpoints.insert(stream, Due { checkpoint, at });
+            let wait = Millis(self.rng.random_range(0..=CHECKPOINT_JITTER_MS));
+            let due_at = self.now + wait;
+            self.checkpoints
+                .insert(stream, PendingCheckpoint { checkpoint, due_at });
         }
-        if moved {
-            self.moved(stream);
+        if has_advanced {
+            self.stream_advanced(stream);
         }
     }
 
-    fn moved(&mut self, stream: Stream) {
+    /// Handles new records of a stream, after they were applied.
+    fn stream_advanced(&mut self, stream: Stream) {
         let me = self.incarnation();
         let member = match stream {
             Stream::Config => self.config().sequence().member(me),
             Stream::Shard(shard) => self.ledger(shard).sequence().member(me),
         };
         self.writer(stream).applied(member.seq);
-        self.past_moved(stream);
+        self.update_past_writers(stream);
         match stream {
-            Stream::Config => self.config_moved(),
-            Stream::Shard(_) if member.gone.is_some() && !self.stopping => self.reborn(),
+            Stream::Config => self.config_changed(),
+            Stream::Shard(_) if member.gone.is_some() && !self.stopping => self.renew_incarnation(),
             Stream::Shard(shard) => {
                 self.recheck_witnesses();
-                self.ledger_moved(shard);
+                self.ledger_changed(shard);
             }
         }
         self.answer_confirms();
     }
 
-    fn past_moved(&mut self, stream: Stream) {
+    /// Confirms to the writers of earlier incarnations the records that were read back.
+    fn update_past_writers(&mut self, stream: Stream) {
         let sequence = match stream {
             Stream::Config => self.config.state().sequence(),
             Stream::Shard(shard) => self.ledgers[usize::from(shard)].state().sequence(),
         };
-        for ((name, written), writer) in &mut self.past_writers {
-            if *written == stream {
+        for ((name, written_to), writer) in &mut self.past_writers {
+            if *written_to == stream {
                 writer.applied(sequence.member(*name).seq);
             }
         }
     }
 
-    fn config_moved(&mut self) {
+    fn config_changed(&mut self) {
         let targets = self.config.state().targets();
         self.pool.update(targets);
         self.publish();
-        self.pump();
+        self.start_queued();
     }
 
     pub(super) fn set_log_up(&mut self, up: bool) {
@@ -106,11 +110,12 @@
         self.log_up = up;
     }
 
-    pub(super) fn appended(&mut self, stream: Stream, taken: bool) {
+    /// Handles the log's answer to an append.
+    pub(super) fn handle_append_result(&mut self, stream: Stream, taken: bool) {
         if !taken {
             self.writer(stream).refused();
             let past = self.past_writers.iter_mut();
-            for (_, writer) in past.filter(|((_, written), _)| *written == stream) {
+            for (_, writer) in past.filter(|((_, written_to), _)| *written_to == stream) {
                 writer.refused();
             }
         }
@@ -130,27 +135,29 @@
         }
     }
 
-    /// Sets marks where they are due, and writes checkpoints that nobody else has written.
+    /// Writes marks for the streams that are due for a checkpoint, and the checkpoints that no other router has
+    /// written first.
     pub(super) fn write_checkpoints(&mut self) {
         for stream in Stream::all() {
-            let due = self.since_mark(stream) >= self.settings.checkpoint_every;
-            if due && self.rng.random_bool(MARK_SHARE) {
+            let is_mark_due = self.since_mark(stream) >= self.settings.checkpoint_every;
+            if is_mark_due && self.rng.random_bool(MARK_PROBABILITY) {
                 let writer = self.writer(stream);
                 if !writer.holds(|record| matches!(record, Record::Mark)) {
                     writer.push(Record::Mark);
                 }
             }
-            let ripe = self
+            let is_checkpoint_due = self
                 .checkpoints
                 .get(&stream)
-                .is_some_and(|due| self.now >= due.at);
-            if ripe && let Some(due) = self.checkpoints.remove(&stream) {
-                self.writer(stream).push(Record::Checkpoint(due.checkpoint));
+                .is_some_and(|pending| self.now >= pending.due_at);
+            if is_checkpoint_due && let Some(pending) = self.checkpoints.remove(&stream) {
+                self.writer(stream)
+                    .push(Record::Checkpoint(pending.checkpoint));
             }
         }
     }
 
-    /// Sends all that is due: appends, then calls to witnesses.
+    /// Requests everything that is due to be sent: appends, then calls to witnesses.
     pub(super) fn flush(&mut self) {
         let gap = self.settings.append_gap;
         let mut appends = Vec::new();
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -1,11 +1,11 @@
-//! This router as a holder: its witnesses, and what they must have before it may go on.
+//! This router as a holder: its choice of a witness, and what the witnesses must acknowledge before it goes on.
 
 use rand::RngExt;
 
 use super::decision::witness::{self, Decision, WitnessState};
 use super::job::Stage;
 use super::link::Link;
-use super::state::{Asked, LinkKey};
+use super::state::{LinkKey, PendingCall};
 use super::{Action, State};
 use crate::router::budget::{Answer, Holder, Ward, Witness};
 use crate::router::key::{Incarnation, SHARDS, Stream};
@@ -14,62 +14,64 @@
 use crate::router::request::{Id, Ticket, Verdict};
 use crate::units::{Millis, Tokens};
 
-/// An earlier incarnation's bills are given up when its witness is silent for this long.
-const LATE_WAIT: Millis = Millis(10_000);
+/// The link for an earlier incarnation's bills is dropped when its witness is silent for longer than this, and the
+/// bills with the incarnation's last link.
+const PAST_BILLS_WAIT: Millis = Millis(10_000);
 
 impl State {
-    /// Witnesses that must acknowledge before a dispatch or a bill in a shard counts: the one that
-    /// the ledger names, the one that is taking over, and any that a record under way names, since
-    /// that record may already be in the log.
-    pub(super) fn needed(&self, shard: u8) -> Vec<Incarnation> {
-        let mut needed = self.named(shard);
-        needed.extend(self.membership.me().witness);
-        needed.sort_unstable();
-        needed.dedup();
-        needed
+    /// Witnesses that must acknowledge a reservation or a bill in a shard: the one that the ledger names, the
+    /// one that this router is changing to, and any that an unacknowledged record names, since that record may
+    /// already be in the log.
+    pub(super) fn required_witnesses(&self, shard: u8) -> Vec<Incarnation> {
+        let mut required = self.named_witnesses(shard);
+        required.extend(self.membership.me().witness);
+        required.sort_unstable();
+        required.dedup();
+        required
     }
 
-    /// Witnesses that a shard's ledger names, or that a record under way names.
-    fn named(&self, shard: u8) -> Vec<Incarnation> {
+    /// Witnesses that a shard's ledger names, or that a record not yet read back names.
+    fn named_witnesses(&self, shard: u8) -> Vec<Incarnation> {
         let me = self.incarnation();
         let recorded = self.ledger(shard).sequence().member(me).witness;
         let writer = &self.writers[&Stream::Shard(shard)];
-        let under_way = writer.records().filter_map(|record| match record {
+        let pending = writer.records().filter_map(|record| match record {
             Record::Witness { witness } => *witness,
             _ => None,
         });
-        recorded.into_iter().chain(under_way).collect()
+        recorded.into_iter().chain(pending).collect()
     }
 
-    /// Whether nobody else can have been given a request of this incarnation by now: it has not
-    /// written that it leaves, and no witness can have closed it. The bound is half of what a
-    /// witness waits, counted from before it last heard us.
-    pub(super) fn is_sure(&self) -> bool {
+    /// Whether no other router can have taken over a request of this incarnation by now: it has not written
+    /// that it leaves, and no witness can have closed it. The bound is half of the time that a witness waits
+    /// before a close, counted from when the last answered call was sent, so from before the witness received it.
+    pub(super) fn is_provably_open(&self) -> bool {
         let me = self.incarnation();
         let bound = Millis(self.settings.close_after.0 / 2);
         let mut links = self.links.iter().filter(|((holder, _), _)| *holder == me);
-        !self.left && links.all(|(_, link)| self.now <= link.heard + bound)
+        !self.has_left && links.all(|(_, link)| self.now <= link.last_answered + bound)
     }
 
-    pub(super) fn tell_witnesses(&mut self, ask: &Notice) {
+    /// Queues a notice for each witness of this incarnation.
+    pub(super) fn notify_witnesses(&mut self, notice: &Notice) {
         let me = self.incarnation();
         for ((holder, _), link) in &mut self.links {
             if *holder == me {
-                link.push(ask.clone());
+                link.push(notice.clone());
             }
         }
     }
 
-    /// Keeps a witness that answers and stays, and has the ledgers name it.
+    /// Changes a witness that does not answer or is leaving, and has the ledgers name the current one.
     pub(super) fn watch_witness(&mut self) {
         self.drop_links();
         let me = self.incarnation();
         match self.membership.me().witness {
             Some(witness) => {
                 let link = self.links.get(&(me, witness));
-                let heard = link.map_or(Millis::ZERO, |link| link.heard);
+                let last_answered = link.map_or(Millis::ZERO, |link| link.last_answered);
                 let state = WitnessState {
-                    unanswered: self.now.saturating_sub(heard),
+                    unanswered: self.now.saturating_sub(last_answered),
                     is_leaving: self.membership.is_leaving(self.now, witness),
                     has_other: self.next_witness().is_some(),
                 };
@@ -82,7 +84,7 @@
         self.name_witnesses();
     }
 
-    /// Who would be asked next: one that has not been asked lately.
+    /// The router to ask next to be the witness: one to which this incarnation has no link.
     fn next_witness(&self) -> Option<Incarnation> {
         let me = self.incarnation();
         let is_new =
@@ -122,28 +124,37 @@
         Ward::new(&totals, &open, &settled, self.epoch())
     }
 
-    /// Drops links that nothing needs any more.
+    /// Drops links that are not needed any more, and with an earlier incarnation's last link its settlements.
     fn drop_links(&mut self) {
         let me = self.incarnation();
         let next = self.membership.me().witness;
         let mut used: Vec<LinkKey> = next.map(|next| (me, next)).into_iter().collect();
         for shard in 0..SHARDS {
-            used.extend(self.named(shard).into_iter().map(|named| (me, named)));
+            used.extend(
+                self.named_witnesses(shard)
+                    .into_iter()
+                    .map(|named| (me, named)),
+            );
         }
-        let late: Vec<Incarnation> = self.late.keys().map(|id| id.incarnation).collect();
+        let settling: Vec<Incarnation> =
+            self.past_settling.keys().map(|id| id.incarnation).collect();
         let running = self.jobs.values().map(|job| job.holder);
-        let late: Vec<Incarnation> = running.chain(late).filter(|one| *one != me).collect();
+        let past: Vec<Incarnation> = running
+            .chain(settling)
+            .filter(|holder| *holder != me)
+            .collect();
         let now = self.now;
         self.links.retain(|key, link| {
-            let owed = late.contains(&key.0) && now <= link.heard + LATE_WAIT;
-            used.contains(key) || owed
+            let is_past_needed =
+                past.contains(&key.0) && now <= link.last_answered + PAST_BILLS_WAIT;
+            used.contains(key) || is_past_needed
         });
         let links = &self.links;
-        self.late
+        self.past_settling
             .retain(|id, _| links.keys().any(|key| key.0 == id.incarnation));
     }
 
-    /// Has every ledger that this router has written to name its witness.
+    /// Has every ledger that this incarnation has written to name its witness.
     fn name_witnesses(&mut self) {
         let me = self.incarnation();
         for shard in 0..SHARDS {
@@ -154,7 +165,7 @@
         }
     }
 
-    /// Has a ledger name the witness, where it does not yet.
+    /// Has a ledger name the witness, if it does not yet and the witness has acknowledged the accounts.
     pub(super) fn name_witness(&mut self, shard: u8) {
         let me = self.incarnation();
         let witness = self.membership.me().witness;
@@ -167,19 +178,18 @@
         };
         let recorded = self.ledger(shard).sequence().member(me).witness;
         let stream = Stream::Shard(shard);
-        let same =
-            |record: &Record| matches!(record, Record::Witness { witness: one } if *one == witness);
+        let is_same = |record: &Record| matches!(record, Record::Witness { witness: named } if *named == witness);
         if !adopted || recorded == witness {
             return;
         }
         let writer = self.writer(stream);
-        if !writer.holds(same) {
+        if !writer.holds(is_same) {
             writer.push(Record::Witness { witness });
         }
     }
 
-    /// A witness has answered a call, or the call failed.
-    pub(super) fn witness_replied(
+    /// Handles a witness's reply to a call, or the failure of the call.
+    pub(super) fn handle_witness_reply(
         &mut self,
         key: LinkKey,
         call: super::Call,
@@ -200,35 +210,35 @@
                 return;
             }
         };
-        let Some(asks) = link.answered(call) else {
+        let Some(notices) = link.complete(call) else {
             return;
         };
-        if asks.len() != answers.len() {
+        if notices.len() != answers.len() {
             self.witness_lost(key);
             return;
         }
-        for (ask, answer) in asks.into_iter().zip(answers) {
-            self.witness_answered(key, &ask, answer);
+        for (notice, answer) in notices.into_iter().zip(answers) {
+            self.handle_notice_answer(key, &notice, answer);
         }
     }
 
-    /// The witness has forgotten us, or is not there any more: it acknowledges nothing.
+    /// Changes the witness if it no longer keeps this holder's accounts or is gone, and so acknowledges nothing.
     fn witness_lost(&mut self, key: LinkKey) {
         if self.membership.me().witness == Some(key.1) && key.0 == self.incarnation() {
             self.change_witness(Some(key.1));
         }
     }
 
-    fn witness_answered(&mut self, key: LinkKey, ask: &Notice, answer: Answer) {
+    fn handle_notice_answer(&mut self, key: LinkKey, notice: &Notice, answer: Answer) {
         let (holder, witness) = key;
-        let closed = matches!(answer, Answer::Closed { .. });
-        if closed && holder == self.incarnation() {
-            self.reborn();
+        let is_closed = matches!(answer, Answer::Closed { .. });
+        if is_closed && holder == self.incarnation() {
+            self.renew_incarnation();
         }
         if holder != self.incarnation() {
-            if let Notice::Settle { nonce, .. } = ask {
+            if let Notice::Settle { nonce, .. } = notice {
                 let (incarnation, nonce) = (holder, *nonce);
-                self.late_answered(Id { incarnation, nonce }, answer);
+                self.handle_past_settle_answer(Id { incarnation, nonce }, answer);
             }
             return;
         }
@@ -236,12 +246,12 @@
             self.witness_lost(key);
             return;
         }
-        match ask {
-            Notice::Adopt(_) => self.adopted(key),
-            Notice::Open { nonce, .. } => self.witness_has_open(witness, *nonce),
+        match notice {
+            Notice::Adopt(_) => self.record_adoption(key),
+            Notice::Open { nonce, .. } => self.record_witnessed(witness, *nonce),
             Notice::Settle { nonce, .. } => {
                 if let Some(settling) = self.settling.get_mut(nonce) {
-                    settling.acked.push(witness);
+                    settling.acked_by.push(witness);
                 }
                 self.try_acknowledge(*nonce);
             }
@@ -249,18 +259,19 @@
         }
     }
 
-    fn witness_has_open(&mut self, witness: Incarnation, nonce: u64) {
+    /// Records that a witness has acknowledged a reservation.
+    fn record_witnessed(&mut self, witness: Incarnation, nonce: u64) {
         if let Some(ticket) = self.by_nonce.get(&nonce).copied() {
             if let Some(job) = self.jobs.get_mut(&ticket) {
-                job.opened.push(witness);
+                job.witnessed_by.push(witness);
             }
             self.try_dispatch(ticket);
         }
     }
 
-    /// A witness has the accounts, and with them all that was open or unacknowledged when they were
-    /// sent. What came later is behind them on the same link, and is acknowledged by itself.
-    fn adopted(&mut self, key: LinkKey) {
+    /// Records that a witness has acknowledged the accounts, and with them every request that was open or
+    /// unacknowledged when they were sent. Later notices follow on the same link and are acknowledged one by one.
+    fn record_adoption(&mut self, key: LinkKey) {
         let Some(link) = self.links.get_mut(&key) else {
             return;
         };
@@ -268,23 +279,26 @@
         let open = std::mem::take(&mut link.open);
         let settled = std::mem::take(&mut link.settled);
         for nonce in open {
-            self.witness_has_open(key.1, nonce);
+            self.record_witnessed(key.1, nonce);
         }
         for nonce in settled {
             if let Some(settling) = self.settling.get_mut(&nonce) {
-                settling.acked.push(key.1);
+                settling.acked_by.push(key.1);
                 self.try_acknowledge(nonce);
             }
         }
     }
 
-    /// A bill that all its witnesses have may go to the log, and its verdict to the caller.
+    /// If all required witnesses have a settlement, lets its bill go to the log and its verdict to the caller.
     pub(super) fn try_acknowledge(&mut self, nonce: u64) {
         let Some(settling) = self.settling.get(&nonce) else {
             return;
         };
-        let needed = self.needed(settling.budget.shard);
-        if !needed.iter().all(|one| settling.acked.contains(one)) {
+        let required = self.required_witnesses(settling.budget.shard);
+        if !required
+            .iter()
+            .all(|witness| settling.acked_by.contains(witness))
+        {
             return;
         }
         let Some(settling) = self.settling.remove(&nonce) else {
@@ -298,7 +312,7 @@
         }
     }
 
-    /// Tries again what waits for witnesses that may no longer be needed.
+    /// Tries the waiting settlements and dispatches again, after the set of required witnesses may have shrunk.
     pub(super) fn recheck_witnesses(&mut self) {
         let nonces: Vec<u64> = self.settling.keys().copied().collect();
         for nonce in nonces {
@@ -311,16 +325,16 @@
         }
     }
 
-    /// The old witness's word on a bill of an earlier incarnation.
-    fn late_answered(&mut self, id: Id, answer: Answer) {
-        let Some(late) = self.late.remove(&id) else {
+    /// Handles the witness's answer to a bill of an earlier incarnation.
+    fn handle_past_settle_answer(&mut self, id: Id, answer: Answer) {
+        let Some(settling) = self.past_settling.remove(&id) else {
             return;
         };
-        let Some((ticket, verdict)) = late.verdict else {
+        let Some((ticket, verdict)) = settling.verdict else {
             return;
         };
         let verdict = match (verdict, answer) {
-            // Whoever took it over bills it.
+            // The router that took the request over bills it.
             (Verdict::Ran { .. }, Answer::Closed { billed: false }) => Verdict::Ran {
                 billed: Tokens::ZERO,
             },
@@ -329,29 +343,29 @@
         self.finish(ticket, verdict);
     }
 
-    /// This incarnation was closed: another takes its place. What runs goes on and is billed
-    /// through the old witness; what waits is judged anew, since others may have been given it.
-    pub(super) fn reborn(&mut self) {
+    /// Replaces this incarnation, which was closed, by a new one. Dispatched requests go on and are billed through
+    /// the old witness; for the others a takeover is requested, since other routers may have taken them over.
+    pub(super) fn renew_incarnation(&mut self) {
         let old = self.incarnation();
         let new = Incarnation(self.rng.random());
         let settling = std::mem::take(&mut self.settling);
-        for (nonce, one) in settling {
+        for (nonce, pending) in settling {
             let id = Id {
                 incarnation: old,
                 nonce,
             };
-            self.late.insert(id, one);
+            self.past_settling.insert(id, pending);
         }
         self.holder = Holder::new(new, self.settings.sizing);
         self.by_nonce.clear();
         self.scarce_seen.clear();
-        self.asked_at.clear();
+        self.grant_requested_at.clear();
         self.epochs_began = self.now;
         for (stream, writer) in &mut self.writers {
             let mut past = std::mem::replace(writer, Writer::new(new));
             past.drop_unsent();
             self.past_writers.insert((old, *stream), past);
-            let plans = self.confirming.iter().map(|one| &one.plan);
+            let plans = self.confirming.iter().map(|pending| &pending.plan);
             for plan in plans.filter(|plan| plan.stream == *stream) {
                 writer.push(Record::Change(plan.clone()));
             }
@@ -359,13 +373,13 @@
         self.witnesses.insert(new, Witness::default());
         self.membership.renew(new);
         self.drop_past();
-        // The wards are to know soon that they need another witness.
+        // A heartbeat at once tells the wards that they need another witness.
         self.last_heartbeat = Millis::ZERO;
         self.actions.push(Action::Reborn { incarnation: new });
-        self.rejudge(old);
+        self.retake_undispatched(old);
     }
 
-    /// Sends what is due on every link.
+    /// Sends the calls that are due on the links.
     pub(super) fn flush_links(&mut self) {
         let keys: Vec<LinkKey> = self.links.keys().copied().collect();
         for key in keys {
@@ -378,13 +392,13 @@
                 .get_mut(&key)
                 .and_then(|link| link.due(self.now, call));
             if let Some(request) = due {
-                self.call(address, Asked::Ward(key), request);
+                self.call(address, PendingCall::Ward(key), request);
             }
         }
     }
 
-    /// Lets the witnesses know that this process is there.
-    pub(super) fn greet_witnesses(&mut self) {
+    /// Queues a keepalive notice on every idle link.
+    pub(super) fn queue_keepalives(&mut self) {
         let epoch = self.epoch();
         for link in self.links.values_mut() {
             if link.is_idle() {
