--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Intents: plans, confirms, races, and what is in force where.
+//! Operators' intents: plans, confirms, races between them, and their effect on every router.
 
 mod common;
 
@@ -28,19 +28,20 @@
         ];
         let answers = std::thread::scope(|scope| {
             let (area, plans) = (&area, &plans);
-            let racers = [0, 1].map(|one| scope.spawn(move || area.confirm(one, &plans[one])));
+            let racers =
+                [0, 1].map(|router| scope.spawn(move || area.confirm(router, &plans[router])));
             racers.map(|racer| racer.join().unwrap())
         });
-        let mut results = [0, 1].map(|one| answers[one].json()["result"].to_string());
+        let mut results = [0, 1].map(|router| answers[router].json()["result"].to_string());
         let winner = usize::from(results[1].contains("in_force"));
         results.sort();
         assert_eq!(results, ["\"in_force\"", "\"stale\""], "{answers:?}");
-        let told = answers[1 - winner].json()["message"]
+        let message = answers[1 - winner].json()["message"]
             .as_str()
             .unwrap()
             .to_owned();
-        assert!(told.contains("plan again"), "{told}");
-        // Confirming again changes nothing, and says the same.
+        assert!(message.contains("plan again"), "{message}");
+        // A repeated confirm changes nothing and gets the same answer.
         let again = area.confirm(1 - winner, &plans[winner]);
         assert_eq!(again.json()["result"], "in_force", "{again:?}");
         let wanted = [1_000 + turn, 2_000 + turn][winner];
@@ -68,10 +69,10 @@
     }
     area.settled("kiosks", 20 * 7);
     area.apply(&budget(150));
-    area.wait("what was out has come back", |area| {
+    area.wait("the routers have returned their tokens", |area| {
         area.seen("kiosks")["prepaid"] == 150
     });
-    // A call may cost 15; what is left of the 150 is 10.
+    // A call may cost 15 tokens; 10 of the 150 are left.
     let to = area.routers[0].address;
     let answer = area.send(
         Method::POST,
@@ -103,33 +104,33 @@
         ran.as_object().map_or(0, serde_json::Map::len)
     };
     (0..20).for_each(call);
-    assert!(runs(0) > 0 && runs(1) > 0, "both are used");
+    assert!(runs(0) > 0 && runs(1) > 0, "both targets get requests");
     area.apply(&json!({"drain": {"target": "engine-0", "draining": true}}));
     area.wait_same();
     let before = runs(0);
     (0..20).for_each(call);
-    assert_eq!(runs(0), before, "no new work");
+    assert_eq!(runs(0), before, "a draining target gets no new requests");
     area.apply(&json!({"drain": {"target": "engine-0", "draining": false}}));
     area.wait_same();
     (0..20).for_each(call);
-    assert!(runs(0) > before, "work again");
+    assert!(runs(0) > before, "the target gets requests again");
 }
 
 #[test]
 fn listed_leaving() {
     let area = Area::new(1, 2);
     area.list_hosts(&[1]);
-    area.wait("no caller is sent to a leaving host", |area| {
+    area.wait("entry answers leave out the leaving host", |area| {
         let answer = area.get(area.routers[0].address, "/v1/entry", &key("kiosks"));
         answer.json()["use"].as_array().map(Vec::len) == Some(1)
     });
-    // A caller that keeps an old answer is still served.
+    // A caller that uses an earlier entry answer is still served.
     let to = area.routers[1].address;
     let path = "/v1/chat/completions";
     let answer = area.send(Method::POST, to, path, &key("kiosks"), &[], &chat("x", 2));
     assert_eq!(answer.events().last(), Some(&"[DONE]"));
     area.list_hosts(&[]);
-    area.wait("both again", |area| {
+    area.wait("entry answers have both hosts again", |area| {
         let answer = area.get(area.routers[0].address, "/v1/entry", &key("kiosks"));
         answer.json()["use"].as_array().map(Vec::len) == Some(2)
     });
--- a/tests/queue_order.rs
+++ b/tests/queue_order.rs
@@ -1,4 +1,4 @@
-//! Who waits, who is shed, and who is told at once.
+//! The order of a queue, which requests it sheds, and which it refuses at once.
 
 use lanedeck::router::request::{Bound, Queue, Ticket, Waiting};
 use lanedeck::units::Millis;
@@ -13,7 +13,7 @@
 }
 
 fn order(queue: &Queue) -> Vec<u64> {
-    queue.iter().map(|one| one.ticket.0).collect()
+    queue.iter().map(|waiting| waiting.ticket.0).collect()
 }
 
 #[test]
@@ -25,13 +25,13 @@
     assert_eq!(queue.push(waiting(1, 2, 0)), None);
     assert_eq!(queue.push(waiting(2, 0, 9_000)), None);
     assert_eq!(queue.push(waiting(3, 1, 9_010)), None);
-    // The lowest class is shed first, also where it has waited long and would go next.
+    // The lowest class is shed first, even if its request has waited long and would start next.
     assert_eq!(order(&queue)[0], 1);
-    let shed = |one: Option<Waiting>| one.map(|one| one.ticket.0);
-    assert_eq!(shed(queue.push(waiting(4, 0, 9_020))), Some(1));
-    assert_eq!(shed(queue.push(waiting(5, 0, 9_030))), Some(3));
-    // Within a class it is the newest, here the newcomer itself.
-    assert_eq!(shed(queue.push(waiting(6, 0, 9_040))), Some(6));
+    let ticket_of = |shed: Option<Waiting>| shed.map(|waiting| waiting.ticket.0);
+    assert_eq!(ticket_of(queue.push(waiting(4, 0, 9_020))), Some(1));
+    assert_eq!(ticket_of(queue.push(waiting(5, 0, 9_030))), Some(3));
+    // Within a class the newest is shed, here the request that has just arrived.
+    assert_eq!(ticket_of(queue.push(waiting(6, 0, 9_040))), Some(6));
     assert_eq!(order(&queue), [2, 4, 5]);
 }
 
@@ -52,7 +52,7 @@
         }
         overtaken_by = 10 * turn;
     }
-    // Two ranks apart: nobody who comes more than two steps later goes first.
+    // Two ranks apart: no request that arrives more than two steps later starts first.
     assert!(
         (3_900..=4_000).contains(&overtaken_by),
         "overtaken until {overtaken_by} ms"
@@ -60,17 +60,17 @@
 }
 
 #[test]
-fn told_at_once() {
+fn refused_at_once() {
     let mut queue = Queue::new(Bound::default());
     for ticket in 0..100 {
         queue.push(waiting(ticket, 0, 0));
     }
-    // At ten a second, fifty can start within five seconds, and the one at the very end of them.
-    let gone = queue.hopeless(Millis(0), 10.0);
-    assert_eq!(gone.len(), 49);
-    assert_eq!(gone[0].ticket, Ticket(51));
+    // At ten a second, fifty can start within the patience of five seconds, and one more just as it ends.
+    let refused = queue.hopeless(Millis(0), 10.0);
+    assert_eq!(refused.len(), 49);
+    assert_eq!(refused[0].ticket, Ticket(51));
     assert!(queue.hopeless(Millis(0), 10.0).is_empty());
-    // Nobody waits past its patience.
+    // No request waits longer than its patience.
     assert_eq!(queue.hopeless(Millis(5_001), 1e9).len(), 51);
     assert!(queue.is_empty());
 }
--- a/tests/router_kill.rs
+++ b/tests/router_kill.rs
@@ -1,4 +1,4 @@
-//! Routers killed or frozen amid traffic, with callers that send the same id again.
+//! Routers are killed or frozen under load, while callers retry with the same id.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use common::area::{Area, PREPAID, SECRET, chat, key, lanedeck, send, text};
 use serde_json::Value;
 
-/// The dearest request of these runs: prompt, answer, and some room.
+/// Upper bound of the cost of a request in these tests: prompt and answer, with a margin.
 const COST_MAX: u64 = 300;
 
-/// Runs `lanedeck load` to its end; what became of each request.
+/// Runs `lanedeck load` to its end and returns its record of each request.
 fn load(entries: Vec<SocketAddr>, requests: u64) -> Vec<Value> {
     let file = std::env::temp_dir().join(format!("lanedeck-load-{}", rand::random::<u64>()));
     let mut args = vec![
@@ -37,7 +37,7 @@
         .collect()
 }
 
-/// Runs traffic while `faults` are brought about.
+/// Injects `faults` while load runs, and returns the load's records.
 fn run(area: &mut Area, requests: u64, faults: impl FnOnce(&mut Area)) -> Vec<Value> {
     let entries = area.routers.iter().map(|router| router.address).collect();
     let traffic = std::thread::spawn(move || load(entries, requests));
@@ -45,55 +45,58 @@
     traffic.join().unwrap()
 }
 
-/// What must hold after a run, whatever happened.
+/// Checks what must hold after every run: how often requests ran, and that the bills add up.
 fn check(area: &Area, records: &[Value]) {
     let ran = area.ran();
-    let times = |record: &Value| {
+    let runs = |record: &Value| {
         ran.get(record["id"].as_str().unwrap())
             .copied()
             .unwrap_or(0)
     };
     for record in records {
-        let times = times(record);
+        let runs = runs(record);
         assert_eq!(record["wrong"], false, "{record}");
         assert!(
-            record["service"] == false || times <= 1,
-            "ran {times} times: {record}"
+            record["service"] == false || runs <= 1,
+            "ran {runs} times: {record}"
         );
         assert!(
-            record["verdict"] != "ran" || times >= 1,
-            "said to have run: {record}"
+            record["verdict"] != "ran" || runs >= 1,
+            "verdict is ran, but it never ran: {record}"
         );
         assert!(
-            record["verdict"] != "not_run" || times == 0,
-            "ran {times} times: {record}"
+            record["verdict"] != "not_run" || runs == 0,
+            "ran {runs} times: {record}"
         );
     }
-    let told: u64 = records
+    let reported: u64 = records
         .iter()
         .filter_map(|record| record["billed"].as_u64())
         .sum();
-    let untold = records
+    let unreported = records
         .iter()
-        .filter(|record| record["verdict"] != "ran" && times(record) > 0);
-    let most = told + untold.count() as u64 * COST_MAX;
-    area.wait("every bill in the log, nothing in doubt", |area| {
+        .filter(|record| record["verdict"] != "ran" && runs(record) > 0);
+    let billed_max = reported + unreported.count() as u64 * COST_MAX;
+    area.wait("every bill is in the log and nothing in doubt", |area| {
         let seen = area.seen("kiosks");
-        seen["in_doubt"] == 0 && seen["billed"].as_u64() >= Some(told)
+        seen["in_doubt"] == 0 && seen["billed"].as_u64() >= Some(reported)
     });
     let seen = area.seen("kiosks");
     let sum = ["unallotted", "held", "billed", "in_doubt"].map(|part| seen[part].as_u64().unwrap());
     assert_eq!(sum.iter().sum::<u64>(), PREPAID);
     assert!(
-        seen["billed"].as_u64() <= Some(most),
-        "{seen} told {told}, at most {most}"
+        seen["billed"].as_u64() <= Some(billed_max),
+        "{seen}; reported {reported}, at most {billed_max}"
     );
     assert!(
         area.statuses()
             .iter()
             .all(|status| status["violations"] == 0)
     );
-    println!("told={told} billed={} most={most}", seen["billed"]);
+    println!(
+        "reported={reported} billed={} billed_max={billed_max}",
+        seen["billed"]
+    );
 }
 
 fn pause(millis: u64) {
@@ -104,7 +107,7 @@
     Area::with_options(2, 3, &["--close-after=1000"], &["--between=20"])
 }
 
-/// Whether the ledgers have nothing left of a process that is gone.
+/// Whether the ledger of the customer holds no tokens for a killed router's incarnation, and none are in doubt.
 fn is_closed(area: &Area, incarnation: &str) -> bool {
     let seen = area.seen("kiosks");
     let holders = seen["holders"].as_array().cloned().unwrap_or_default();
@@ -129,7 +132,7 @@
 }
 
 #[test]
-fn nobody_comes_back() {
+fn no_caller_retries() {
     let mut area = fleet();
     let to = area.routers[0].address;
     let body = chat("one try", 10);
@@ -143,7 +146,7 @@
     area.wait("the engine runs it", |area| !area.ran().is_empty());
     area.routers[0].kill();
     area.routers.remove(0);
-    // Its witness closes it, and bills what the engine says it used: 4 of the prompt, 10 answered.
+    // Its witness closes it and bills what the engine reports: 4 prompt tokens and 10 answer tokens.
     let seen = area.settled("kiosks", 4 + 10);
     assert_eq!(seen["in_doubt"], 0);
     let sum = ["unallotted", "held", "billed"].map(|part| seen[part].as_u64().unwrap());
--- a/tests/whole_path.rs
+++ b/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request from an entry answer to the bill, through separate processes.
+//! A request's whole path, from the entry answer to the bill, through separate processes.
 
 mod common;
 
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn whole_in_one() {
+fn unstreamed_answer() {
     let area = Area::new(1, 1);
     let to = area.routers[0].address;
     let body = chat("short", 5).replace("\"stream\":true", "\"stream\":false");
@@ -99,6 +99,6 @@
         .unwrap()
         .to_owned();
     assert_eq!(content, words("short", 5).concat());
-    // The fast class pays twice.
+    // The price factor of class `fast` is two.
     assert_eq!(answer.header("lanedeck-billed"), ((3 + 5) * 2).to_string());
 }
--- a/tests/witness_change.rs
+++ b/tests/witness_change.rs
@@ -1,14 +1,11 @@
-//! A witness that is closed or leaves, and the holders that it is the witness of.
+//! Guards against a customer's tokens staying held, or in doubt, until an operator releases them, after a router
+//! and its witness have both failed or stopped. Two orders of events lead to it:
 //!
-//! Users saw a customer's tokens held, or in doubt, until an operator released them, after a router
-//! had died. Two orders of events, both with one fault of a router and another of its witness:
-//!
-//! - The holder dies with a request at a target. Its witness is late by more than `close_after`
-//!   (beside load, or frozen) and is closed by a witness of its own. It went on under a new
-//!   incarnation, and the ledger takes the bill of a closed holder's request from the witness that
-//!   it has on record only, so nobody was left to write it.
-//! - The witness is stopped as planned, and the holder dies before it has found another. The witness
-//!   ended as soon as its own accounts were done.
+//! - The holder crashes with a request at a target. Its witness is delayed by more than `close_after` (by load, or
+//!   frozen) and is closed by its own witness. It goes on under a new incarnation, but the ledger accepts the bill
+//!   of a closed holder's request only from the witness that it has on record, so no router can write the bill.
+//! - The witness is stopped as planned, and the holder crashes before it has found another. The witness ends as
+//!   soon as its own accounts are complete.
 
 mod common;
 
@@ -20,8 +17,9 @@
 const SEEDS: u64 = 20;
 const HOLDER: usize = 0;
 
-/// A fleet whose routers all hold a grant, with a request of the holder at a target.
-fn busy(seed: u64) -> (World, Tokens) {
+/// A fleet whose routers all hold a grant, with a request of the holder at a target. Returns it with the total that
+/// the budget must be billed once that request is settled.
+fn fleet_with_request(seed: u64) -> (World, Tokens) {
     let mut world = World::quiet(seed);
     world.pass(4_000);
     for node in 0..NODES {
@@ -35,38 +33,41 @@
     (world, after)
 }
 
-/// What does not hold once the holder is gone for good.
-fn faults(world: &World, gone: Incarnation, billed: Tokens, what: &str) -> Option<String> {
+/// Describes what is left of a crashed holder in the ledger, or a wrong bill; `None` if all is settled.
+fn unsettled(world: &World, gone: Incarnation, billed: Tokens, case: &str) -> Option<String> {
     let budget = world.budget(HOLDER + 1, 0);
     let held = budget.grants.get(&gone).map(|grant| grant.held());
     let doubted = budget.doubted();
-    let is_whole = held.is_none() && doubted == Tokens::ZERO && budget.billed() == billed;
+    let is_settled = held.is_none() && doubted == Tokens::ZERO && budget.billed() == billed;
     let billed = budget.billed();
-    (!is_whole).then(|| format!("{what}: held {held:?}, in doubt {doubted}, billed {billed}"))
+    (!is_settled).then(|| format!("{case}: held {held:?}, in doubt {doubted}, billed {billed}"))
 }
 
 #[test]
 fn closed_witness() {
-    let mut closed = 0;
+    let mut closed_witnesses = 0;
     let mut found = Vec::new();
     for seed in 1..=SEEDS {
         for (frozen, later) in [(6_000, 0), (6_000, 500), (12_000, 0), (12_000, 500)] {
-            let (mut world, billed) = busy(seed);
+            let (mut world, billed) = fleet_with_request(seed);
             let gone = world.state(HOLDER).incarnation();
             let witness = world.witness_of(HOLDER, 0);
             let before = world.state(witness).incarnation();
             world.freeze(witness, frozen);
             world.pass(later);
-            // It may have ended by itself meanwhile: its bill is the same.
+            // The request may have ended by itself meanwhile; its bill is the same.
             world.kill(HOLDER);
             world.pass(frozen + 20_000);
-            // Where each is the other's witness, nobody closes it.
-            closed += usize::from(world.state(witness).incarnation() != before);
-            let what = format!("seed {seed}, frozen for {frozen} ms, killed {later} ms later");
-            found.extend(faults(&world, gone, billed, &what));
+            // If each is the other's witness, no router closes this one.
+            closed_witnesses += usize::from(world.state(witness).incarnation() != before);
+            let case = format!("seed {seed}, frozen for {frozen} ms, killed {later} ms later");
+            found.extend(unsettled(&world, gone, billed, &case));
         }
     }
-    assert!(closed >= 20, "{closed} witnesses were closed");
+    assert!(
+        closed_witnesses >= 20,
+        "{closed_witnesses} witnesses were closed"
+    );
     assert!(found.is_empty(), "{} of 80: {found:#?}", found.len());
 }
 
@@ -75,22 +76,23 @@
     let mut found = Vec::new();
     for seed in 1..=SEEDS {
         for later in [0, 30, 200, 500, 900, 2_000] {
-            let (mut world, billed) = busy(seed);
+            let (mut world, billed) = fleet_with_request(seed);
             let gone = world.state(HOLDER).incarnation();
             let witness = world.witness_of(HOLDER, 0);
             world.stop(witness);
             world.pass(later);
-            // It may have ended by itself meanwhile: its bill is the same.
+            // The request may have ended by itself meanwhile; its bill is the same.
             world.kill(HOLDER);
             world.pass(30_000);
-            let what = format!("seed {seed}, killed {later} ms after the stop");
-            found.extend(faults(&world, gone, billed, &what));
+            let case = format!("seed {seed}, killed {later} ms after the stop");
+            found.extend(unsettled(&world, gone, billed, &case));
         }
     }
     assert!(found.is_empty(), "{} of 120: {found:#?}", found.len());
 }
 
-/// A number that was sent is not given to another record: the fold would take those after it without it.
+/// A record number that was sent is not reused for another record: the ledger would apply the records after it
+/// without the record that had the number first.
 #[test]
 fn numbers_kept() {
     let mut writer = Writer::new(Incarnation(1));
@@ -99,7 +101,11 @@
     let sent = writer.due(Millis(1_000), Millis(100)).expect("a batch");
     writer.push(Record::Mark);
     writer.drop_unsent();
-    assert_eq!(writer.push(Record::Leave), 3, "the first that was not sent");
+    assert_eq!(
+        writer.push(Record::Leave),
+        3,
+        "the first number that was not sent"
+    );
     let again = writer.due(Millis(5_000), Millis(100)).expect("a batch");
     assert_eq!(again.entries[..2], sent.entries[..]);
     assert_eq!(again.entries.len(), 3);
--- a/tests/witness_rules.rs
+++ b/tests/witness_rules.rs
@@ -1,4 +1,4 @@
-//! A witness alone: what it acknowledges, and how it judges a takeover.
+//! A witness by itself: what it acknowledges, and how it decides takeovers.
 
 use lanedeck::router::budget::{Answer, Price, Replay, Reservation, Taken, Ward, Witness};
 use lanedeck::router::key::{BudgetKey, Incarnation};
@@ -32,7 +32,11 @@
 
 fn witness() -> Witness {
     let mut witness = Witness::default();
-    assert_eq!(open(&mut witness, 1), Answer::Unknown, "a stranger");
+    assert_eq!(
+        open(&mut witness, 1),
+        Answer::Unknown,
+        "not a ward of this witness"
+    );
     let ward = Ward::new(&[], &[], &[], 1);
     assert_eq!(witness.adopt(Millis(1), HOLDER, ward), Answer::Noted);
     witness
@@ -58,7 +62,7 @@
         panic!("one budget")
     };
     assert_eq!((closed.settled, closed.open.len()), (Tokens(0), 1));
-    // A bill that comes late still counts, once, and goes to the log.
+    // A bill that arrives after the close still counts, once, and goes to the log.
     assert_eq!(settle(&mut witness, 1, 40), Answer::Closed { billed: true });
     assert_eq!(settle(&mut witness, 1, 40), Answer::Closed { billed: true });
     assert_eq!(witness.unwritten().len(), 1);
@@ -67,31 +71,34 @@
 }
 
 #[test]
-fn judged_once() {
+fn taken_over_once() {
     let mut witness = witness();
     for number in 1..=3 {
         open(&mut witness, number);
     }
     settle(&mut witness, 2, 30);
-    let me = Incarnation(7);
-    assert_eq!(witness.take(id(1), me, true), Taken::Alive);
+    let successor = Incarnation(7);
+    assert_eq!(witness.take(id(1), successor, true), Taken::Alive);
     witness.close(Millis(2), HOLDER);
     assert_eq!(
-        witness.take(id(9), me, false),
+        witness.take(id(9), successor, false),
         Taken::Fresh,
         "never opened, so never dispatched"
     );
-    assert_eq!(witness.take(id(9), me, false), Taken::Yours);
-    assert_eq!(witness.take(id(9), OTHER, true), Taken::Other(me));
-    assert_eq!(witness.take(id(2), me, true), Taken::Settled(Tokens(30)));
+    assert_eq!(witness.take(id(9), successor, false), Taken::Yours);
+    assert_eq!(witness.take(id(9), OTHER, true), Taken::Other(successor));
+    assert_eq!(
+        witness.take(id(2), successor, true),
+        Taken::Settled(Tokens(30))
+    );
     assert_eq!(
-        witness.take(id(3), me, false),
+        witness.take(id(3), successor, false),
         Taken::Open,
-        "stays with the lost holder"
+        "not repeatable, so left to the lost holder"
     );
-    assert_eq!(witness.take(id(1), me, true), Taken::Open);
-    assert_eq!(witness.take(id(1), OTHER, true), Taken::Other(me));
-    // The holder that wakes is not billed for what was taken over.
+    assert_eq!(witness.take(id(1), successor, true), Taken::Open);
+    assert_eq!(witness.take(id(1), OTHER, true), Taken::Other(successor));
+    // A bill from the closed holder does not count for a request that was taken over.
     assert_eq!(
         settle(&mut witness, 1, 50),
         Answer::Closed { billed: false }
@@ -99,13 +106,13 @@
 }
 
 #[test]
-fn told_by_target() {
+fn reported_by_target() {
     let mut witness = witness();
     open(&mut witness, 1);
     witness.told(id(1), Tokens(10));
     assert!(
         witness.unwritten().is_empty(),
-        "a live holder bills for itself"
+        "a holder that is not closed bills its own requests"
     );
     witness.close(Millis(2), HOLDER);
     assert_eq!(witness.doubtful().len(), 1);
@@ -113,7 +120,7 @@
     assert_eq!(
         witness.unwritten()[0].billed,
         Tokens(20),
-        "at twice the price"
+        "10 tokens at a price factor of two"
     );
     assert!(witness.doubtful().is_empty());
 }
@@ -130,7 +137,7 @@
     );
     assert_eq!(witness.replay(HOLDER, first + 1), Replay::New);
     assert_eq!(witness.replay(HOLDER, first + 2), Replay::Stale, "a gap");
-    // A new link of the same holder starts anew; a late call of the old one is void.
+    // A new link of the same holder restarts the numbers; a delayed call of the old link is ignored.
     let second = 2 << 32 | 1;
     assert_eq!(witness.replay(HOLDER, second), Replay::New);
     witness.answered(HOLDER, second, &[]);
