--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -148,7 +148,7 @@
         customer: String,
     },
     /// A target has reported that a request in doubt is done.
-    Fate {
+    InquiryAnswered {
         /// The request's id in its holder's accounts.
         id: Id,
         /// Tokens used, before the class's price factor.
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -261,7 +261,7 @@
             Input::Confirm { token, plan } => self.confirm_plan(token, plan),
             Input::Status { token } => self.answer_status(token),
             Input::Entry { token, customer } => self.answer_entry(token, &customer),
-            Input::Fate { id, used } => self.record_target_outcome(id, used),
+            Input::InquiryAnswered { id, used } => self.record_target_outcome(id, used),
             Input::Tick => self.tick(),
             Input::Stop => self.begin_stop(),
         }
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -95,7 +95,7 @@
             let fate = relay.fate(target, request).await;
             if let Some(fate) = fate.filter(|fate| fate.ran && fate.done) {
                 let used = Tokens(fate.used);
-                shared.tell(Input::Fate { id, used });
+                shared.tell(Input::InquiryAnswered { id, used });
             }
         });
     }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -393,7 +393,10 @@
                 if self.ran_at.contains_key(&request) {
                     self.faults.note("target told a fate");
                     let used = Tokens(self.cost[&request]);
-                    self.after(5, Event::ToNode(node, life, Input::Fate { id, used }));
+                    self.after(
+                        5,
+                        Event::ToNode(node, life, Input::InquiryAnswered { id, used }),
+                    );
                 }
             }
             Action::Violated(violation) => {
