--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -258,7 +258,7 @@
         config: Arc<Config>,
     },
     /// The process goes on under a new incarnation.
-    Reborn {
+    IncarnationRenewed {
         /// The new incarnation.
         incarnation: Incarnation,
     },
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -375,7 +375,8 @@
         self.drop_past();
         // A heartbeat at once tells the wards that they need another witness.
         self.last_heartbeat = Millis::ZERO;
-        self.actions.push(Action::Reborn { incarnation: new });
+        self.actions
+            .push(Action::IncarnationRenewed { incarnation: new });
         self.retake_undispatched(old);
     }
 
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -78,7 +78,7 @@
                 tracing::info!(event = "config_in_force", objects = config.items().count());
                 self.shared.config.store(config);
             }
-            Action::Reborn { incarnation } => {
+            Action::IncarnationRenewed { incarnation } => {
                 tracing::warn!(event = "incarnation_closed", new = %incarnation);
             }
             Action::Violated(violation) => {
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -411,7 +411,7 @@
                 self.nodes[node].life += 1;
                 self.after(500, Event::Start(node));
             }
-            Action::Reborn { incarnation } => {
+            Action::IncarnationRenewed { incarnation } => {
                 self.trace(|| format!("reborn node={node} life={life} {incarnation}"));
                 self.faults.note("closed while alive");
             }
