--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -108,7 +108,7 @@
         running: u32,
     },
     /// A peer has sent a request.
-    Asked {
+    PeerRequest {
         /// Identifies the request in the reply.
         token: Token,
         /// The request.
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -255,7 +255,7 @@
             Input::Appended { stream, taken } => self.handle_append_result(stream, taken),
             Input::Hosts(hosts) => self.update_hosts(&hosts),
             Input::Report { address, running } => self.update_target_load(address, running),
-            Input::Asked { token, request } => self.answer_peer(token, request),
+            Input::PeerRequest { token, request } => self.answer_peer(token, request),
             Input::Replied { call, reply } => self.handle_reply(call, reply),
             Input::Intent { token, intent } => self.plan_intent(token, &intent),
             Input::Confirm { token, plan } => self.confirm_plan(token, plan),
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -122,7 +122,10 @@
     }
 
     pub(super) async fn answer_peer(&self, request: Request) -> Option<Reply> {
-        match self.ask(|token| Input::Asked { token, request }).await {
+        match self
+            .ask(|token| Input::PeerRequest { token, request })
+            .await
+        {
             Some(Action::Answer { reply, .. }) => Some(reply),
             _ => None,
         }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -326,7 +326,7 @@
         let life = self.nodes[node].life;
         self.after(
             0,
-            Event::ToNode(node, life, Input::Asked { token, request }),
+            Event::ToNode(node, life, Input::PeerRequest { token, request }),
         );
     }
 
