--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -15,7 +15,7 @@
 use crate::units::{Millis, Offset, Tokens};
 
 /// Identifies the peer, operator or caller that waits for an answer.
-pub type Token = u64;
+pub type ReplyToken = u64;
 
 /// Identifies a call to another router, so that its reply can be matched.
 pub type Call = u64;
@@ -110,7 +110,7 @@
     /// A peer has sent a request.
     PeerRequest {
         /// Identifies the request in the reply.
-        token: Token,
+        token: ReplyToken,
         /// The request.
         request: Request,
     },
@@ -124,26 +124,26 @@
     /// An operator has sent an intent.
     Intent {
         /// The operator's request.
-        token: Token,
+        token: ReplyToken,
         /// The intent.
         intent: Intent,
     },
     /// An operator has confirmed a plan.
     Confirm {
         /// The operator's request.
-        token: Token,
+        token: ReplyToken,
         /// The plan.
         plan: Plan,
     },
     /// The status was requested.
     Status {
         /// The status request.
-        token: Token,
+        token: ReplyToken,
     },
     /// A caller has asked which addresses to use.
     Entry {
         /// Identifies the caller in the answer.
-        token: Token,
+        token: ReplyToken,
         /// The customer.
         customer: String,
     },
@@ -220,35 +220,35 @@
     /// Reply to a peer.
     Answer {
         /// The peer's request.
-        token: Token,
+        token: ReplyToken,
         /// The reply.
         reply: Reply,
     },
     /// Answer an operator's intent.
     Planned {
         /// The operator's request.
-        token: Token,
+        token: ReplyToken,
         /// The plan, or the reason why there is none.
         result: Result<Proposal, Error>,
     },
     /// Answer an operator's confirm.
     Confirmed {
         /// The operator's request.
-        token: Token,
+        token: ReplyToken,
         /// The plan's outcome; `None` if it was not read back from the log in time.
         outcome: Option<Outcome>,
     },
     /// Answer a status request.
     Status {
         /// The status request.
-        token: Token,
+        token: ReplyToken,
         /// The status.
         status: Box<Status>,
     },
     /// Answer a caller that asked which addresses to use.
     Entries {
         /// The caller's request.
-        token: Token,
+        token: ReplyToken,
         /// The addresses, best first, each with the prefix for ids of requests sent there.
         entries: Vec<(SocketAddr, Prefix)>,
     },
--- a/src/router/control/mod.rs
+++ b/src/router/control/mod.rs
@@ -18,5 +18,5 @@
 mod streams;
 mod witnesses;
 
-pub use action::{Action, Call, End, Input, Spec, Status, StatusBudget, StatusPeer, Token};
+pub use action::{Action, Call, End, Input, ReplyToken, Spec, Status, StatusBudget, StatusPeer};
 pub use state::{Settings, State};
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -2,7 +2,7 @@
 
 use rand::RngExt;
 
-use super::action::{StatusBudget, Token};
+use super::action::{ReplyToken, StatusBudget};
 use super::state::PendingConfirm;
 use super::{Action, State, Status, StatusPeer};
 use crate::router::budget::{Budget, Witness};
@@ -21,7 +21,7 @@
 
 impl State {
     /// Answers an operator's intent with a plan.
-    pub(super) fn plan_intent(&mut self, token: Token, intent: &Intent) {
+    pub(super) fn plan_intent(&mut self, token: ReplyToken, intent: &Intent) {
         let id = self.rng.random();
         let world = World {
             config: self.config.state(),
@@ -32,7 +32,7 @@
     }
 
     /// Writes a confirmed plan to the log; its outcome is answered once it is read back.
-    pub(super) fn confirm_plan(&mut self, token: Token, plan: Plan) {
+    pub(super) fn confirm_plan(&mut self, token: ReplyToken, plan: Plan) {
         if let Some(outcome) = self.outcome(&plan) {
             let outcome = Some(outcome);
             self.actions.push(Action::Confirmed { token, outcome });
@@ -130,7 +130,7 @@
     }
 
     /// Answers a status request.
-    pub(super) fn answer_status(&mut self, token: Token) {
+    pub(super) fn answer_status(&mut self, token: ReplyToken) {
         let me = self.membership.me();
         let hex = |incarnation: crate::router::key::Incarnation| incarnation.to_string();
         let peers = self.membership.peers(self.now);
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -1,7 +1,7 @@
 //! Communication with the other routers: heartbeats, calls and replies, and this router's work as a witness for
 //! its wards, the holders that have named it.
 
-use super::action::Token;
+use super::action::ReplyToken;
 use super::decision::witness::{Ward, must_wait_for};
 use super::state::PendingCall;
 use super::{Action, Call, State};
@@ -91,7 +91,7 @@
     }
 
     /// Answers a request of a peer.
-    pub(super) fn answer_peer(&mut self, token: Token, request: Request) {
+    pub(super) fn answer_peer(&mut self, token: ReplyToken, request: Request) {
         let reply = match request {
             Request::Heartbeat { peers } => {
                 self.record_peers(&peers);
@@ -122,7 +122,7 @@
     }
 
     /// Answers which addresses a customer should use, with the id prefix for each.
-    pub(super) fn answer_entry(&mut self, token: Token, customer: &str) {
+    pub(super) fn answer_entry(&mut self, token: ReplyToken, customer: &str) {
         let concurrency = self
             .config()
             .customer(customer)
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -9,7 +9,7 @@
 use super::decision::retry::Budget;
 use super::job::{Job, Settling};
 use super::link::Link;
-use super::{Action, Call, Input, Token};
+use super::{Action, Call, Input, ReplyToken};
 use crate::router::budget::{Grant, Holder, Ledger, Sizing, Witness};
 use crate::router::config::Config;
 use crate::router::host::{Membership, Peer};
@@ -75,7 +75,7 @@
 /// A confirmed plan that waits to be read back from the log.
 #[derive(Clone, Debug)]
 pub(super) struct PendingConfirm {
-    pub token: Token,
+    pub token: ReplyToken,
     pub plan: Plan,
     pub since: Millis,
 }
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -11,7 +11,7 @@
 
 use crate::router::client::HttpLog;
 use crate::router::config::Config;
-use crate::router::control::{Action, Input, Spec, Token};
+use crate::router::control::{Action, Input, ReplyToken, Spec};
 use crate::router::http::answer::{Answer, Answers};
 use crate::router::http::entry::Address;
 use crate::router::key::Incarnation;
@@ -45,7 +45,7 @@
     pub(super) log: HttpLog,
     is_ready: AtomicBool,
     active: Mutex<HashMap<SocketAddr, Instant>>,
-    waiting: Mutex<HashMap<Token, oneshot::Sender<Action>>>,
+    waiting: Mutex<HashMap<ReplyToken, oneshot::Sender<Action>>>,
     next: AtomicU64,
     number: AtomicU32,
 }
@@ -97,7 +97,7 @@
     }
 
     /// Asks the control state something; `None` where the process ends first.
-    pub async fn ask(&self, question: impl FnOnce(Token) -> Input) -> Option<Action> {
+    pub async fn ask(&self, question: impl FnOnce(ReplyToken) -> Input) -> Option<Action> {
         let token = self.next.fetch_add(1, Ordering::Relaxed);
         let (send, receive) = oneshot::channel();
         self.waiting
@@ -109,7 +109,7 @@
     }
 
     /// Gives an answer to whoever waits for it.
-    pub(super) fn reply(&self, token: Token, action: Action) {
+    pub(super) fn reply(&self, token: ReplyToken, action: Action) {
         let waiting = self
             .waiting
             .lock()
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-use lanedeck::router::control::{Action, Call, End, Input, Settings, Spec, State, Token};
+use lanedeck::router::control::{Action, Call, End, Input, ReplyToken, Settings, Spec, State};
 use lanedeck::router::host::Peer;
 use lanedeck::router::intent::{Change, Class, Customer, Key, Kind, Object, Plan, Target, Terms};
 use lanedeck::router::key::{Incarnation, Stream};
@@ -81,7 +81,7 @@
     log_up: bool,
     callers: Vec<Caller>,
     tickets: HashMap<(usize, u64, Ticket), usize>,
-    tokens: HashMap<Token, (usize, u64, Call)>,
+    tokens: HashMap<ReplyToken, (usize, u64, Call)>,
     ran_at: BTreeMap<Id, u32>,
     cost: BTreeMap<Id, u64>,
     pub billed: BTreeMap<Id, Vec<u64>>,
