--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -78,7 +78,7 @@
                 tracing::info!(event = "config_in_force", objects = config.items().count());
                 self.shared.config.store(config);
             }
-            Action::Reborn { incarnation } => {
+            Action::IncarnationRenewed { incarnation } => {
                 tracing::warn!(event = "incarnation_closed", new = %incarnation);
             }
             Action::Violated(violation) => {
@@ -95,7 +95,7 @@
             let fate = relay.fate(target, request).await;
             if let Some(fate) = fate.filter(|fate| fate.ran && fate.done) {
                 let used = Tokens(fate.used);
-                shared.tell(Input::Fate { id, used });
+                shared.tell(Input::InquiryAnswered { id, used });
             }
         });
     }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::net::SocketAddr;
 
-use lanedeck::router::control::{Action, Call, End, Input, Settings, Spec, State, Token};
+use lanedeck::router::control::{Action, Call, End, Input, ReplyToken, Settings, Spec, State};
 use lanedeck::router::host::Peer;
 use lanedeck::router::intent::{Change, Class, Customer, Key, Kind, Object, Plan, Target, Terms};
 use lanedeck::router::key::{Incarnation, Stream};
@@ -81,7 +81,7 @@
     log_up: bool,
     callers: Vec<Caller>,
     tickets: HashMap<(usize, u64, Ticket), usize>,
-    tokens: HashMap<Token, (usize, u64, Call)>,
+    tokens: HashMap<ReplyToken, (usize, u64, Call)>,
     ran_at: BTreeMap<Id, u32>,
     cost: BTreeMap<Id, u64>,
     pub billed: BTreeMap<Id, Vec<u64>>,
@@ -326,7 +326,7 @@
         let life = self.nodes[node].life;
         self.after(
             0,
-            Event::ToNode(node, life, Input::Asked { token, request }),
+            Event::ToNode(node, life, Input::PeerRequest { token, request }),
         );
     }
 
@@ -393,7 +393,10 @@
                 if self.ran_at.contains_key(&request) {
                     self.faults.note("target told a fate");
                     let used = Tokens(self.cost[&request]);
-                    self.after(5, Event::ToNode(node, life, Input::Fate { id, used }));
+                    self.after(
+                        5,
+                        Event::ToNode(node, life, Input::InquiryAnswered { id, used }),
+                    );
                 }
             }
             Action::Violated(violation) => {
@@ -408,7 +411,7 @@
                 self.nodes[node].life += 1;
                 self.after(500, Event::Start(node));
             }
-            Action::Reborn { incarnation } => {
+            Action::IncarnationRenewed { incarnation } => {
                 self.trace(|| format!("reborn node={node} life={life} {incarnation}"));
                 self.faults.note("closed while alive");
             }
