--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,9 +1,9 @@
-//! Randomised runs over the real binary: gateways, or routers, as processes, with callers, targets and
-//! the stand-in of the store or the log, and steps and faults drawn from a seed.
+//! Randomised tests of the real binary. Gateways or routers run as processes, next to callers, targets and the
+//! stand-in of the store or the log; planned operations and faults are drawn from a seed.
 //!
-//! `LANEDECK_SOAK_SEEDS=50` runs so many seeds, `LANEDECK_SOAK_SEEDS=7,12` these, and
-//! `LANEDECK_SOAK_PROCESSES=24` so many gateways or routers in each, with as many more callers. A failure prints its
-//! seed and one timeline of what callers, targets and processes saw; the logs stay.
+//! `LANEDECK_SOAK_SEEDS=50` runs the seeds 1 to 50, `LANEDECK_SOAK_SEEDS=7,12` runs just these two, and
+//! `LANEDECK_SOAK_PROCESSES=24` sets the number of gateways or routers per run; the number of callers grows with it.
+//! A failure prints its seed and one timeline of what callers, targets and processes saw, and keeps the logs.
 
 #[path = "soak/caller.rs"]
 mod caller;
@@ -37,18 +37,18 @@
 use run::{Outcome, run};
 use tokio::runtime::Runtime;
 
-/// Seeds of a run in CI: one to two minutes for all tests here.
+/// Default number of seeds for gateways: all tests of this file take one to two minutes in CI.
 const SEEDS: u64 = 6;
-/// The same of routers: one batch of each kind.
+/// Default number of seeds for routers: one batch for each kind.
 const ROUTER_SEEDS: u64 = 3;
-/// Seeds that run at once: a dozen processes.
+/// Seeds that run concurrently, which makes about a dozen processes.
 const AT_ONCE: usize = 3;
-/// Most gateways, or routers, of a run by the setting: a few dozen fit in a workstation's memory.
+/// Upper limit of `LANEDECK_SOAK_PROCESSES`: a few dozen processes fit in a workstation's memory.
 const PROCESSES_MAX: usize = 36;
-/// Broken promises that are printed of a seed.
+/// Maximum number of violations printed per seed.
 const SHOWN: usize = 5;
 
-/// One soak at a time, so that they don't load the machine together.
+/// Serializes the soak tests, so that they don't load the machine at the same time.
 static ONE: Mutex<()> = Mutex::new(());
 
 fn seeds(usual: u64) -> Vec<u64> {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Gateways, or routers, of each run, where that is set; seeds run one after the other then.
+/// Number of gateways or routers per run, if set. Seeds then run one at a time.
 fn processes() -> Option<usize> {
     let text = std::env::var("LANEDECK_SOAK_PROCESSES").ok()?;
     let count = text.parse().unwrap();
@@ -73,8 +73,8 @@
     Some(count)
 }
 
-/// Runs seeds, some at once, and fails with those that broke a promise. `batch` carries seeds out, each
-/// with its folder for logs.
+/// Runs the seeds in batches and fails if any of them broke a promise. `batch` runs the given seeds concurrently,
+/// each with its own log directory.
 fn soak(name: &str, usual: u64, batch: impl Fn(&Runtime, Vec<(u64, PathBuf)>) -> Vec<Outcome>) {
     let _one = ONE
         .lock()
@@ -129,7 +129,7 @@
             let addresses = router::addresses(&plan);
             (plan, addresses, logs)
         });
-        // No process is started before all addresses are tried.
+        // All addresses are probed before any process starts, since a process could take a probed port.
         let plans: Vec<_> = plans.collect();
         std::thread::scope(|scope| {
             let runs = plans.into_iter().map(|(plan, addresses, logs)| {
@@ -161,7 +161,7 @@
     soak_gateways("soak_faults", Kind::Faults);
 }
 
-/// Planned work beside targets that say that they leave, or take so much, or want rest.
+/// Planned operations while targets announce that they are leaving, a rate limit, or a pause.
 #[test]
 fn soak_words() {
     soak_plans("soak_words", |seed| {
@@ -169,7 +169,7 @@
     });
 }
 
-/// Planned work and faults beside a store that comes back from copies.
+/// Planned operations and faults while the store is restored from copies.
 #[test]
 fn soak_returns() {
     soak_plans("soak_returns", |seed| {
--- a/tests/soak/caller.rs
+++ b/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: what it sends, when it leaves, when it comes back, and what it has seen.
+//! A caller of gateways: sends requests, abandons some, retries others, and records what it saw.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -15,30 +15,30 @@
 use crate::line::{End, Line, Pieces, Progress, Reading};
 use crate::plan::{self, Habit, Owner};
 
-/// What callers say that they wait, in milliseconds.
+/// Deadline that callers send with a request, in milliseconds.
 const DEADLINE: u64 = 5_000;
-/// How long they wait more for an answer: many times what a loaded machine adds, since a request without
-/// an answer by then breaks a promise.
+/// How much longer than the deadline callers wait for a response: many times what a loaded machine adds, since a
+/// request without a response by then breaks a promise.
 const PATIENCE: Duration = Duration::from_secs(10);
-/// Longest wait for an answer about addresses: what callers of the platform give one.
+/// Timeout of address resolution of the platform's callers.
 const RESOLVE: Duration = Duration::from_secs(1);
-/// Times that an answer about addresses is held for its life by a caller that holds it longest.
+/// Factor by which callers with stale addresses exceed the lifetime of resolved addresses.
 const HELD: u32 = 3;
 /// Connections that a caller keeps.
 const LINES: usize = 3;
-/// A plain answer that does not fit in the buffers between a gateway and a caller that reads slowly, in
-/// bytes. It is passed on whole, so it has to fit in a gateway's limit of 8 MiB.
+/// Size of a plain response that exceeds the buffers between a gateway and a caller that reads slowly, in bytes. A
+/// gateway passes it on whole, so it has to fit in the gateway's limit of 8 MiB.
 const LONG_ANSWER: usize = 7 << 20;
-/// Longest time from the head of an answer until a slow caller reads on, in milliseconds.
+/// Longest time from the head of a response until a slow caller reads on, in milliseconds.
 const READ_PAUSE: u64 = 3_000;
-/// Pause after a key was refused, so that callers without one leave room for others.
+/// Pause after a key was refused, so that callers without a valid key leave room for others.
 const KEYLESS_PAUSE: Duration = Duration::from_millis(300);
-/// Returns after a refusal or a failure.
+/// Maximum number of retries after a refusal or a failure.
 const RETURNS: u32 = 3;
-/// Longest wait until a return: the third of the time that callers of the platform wait.
+/// Longest wait before a retry: a third of the time that the platform's callers wait for a response.
 const RETURN_WAIT: Duration = Duration::from_millis(DEADLINE / 3);
 
-/// What a route says of repeats.
+/// Routes, which differ in whether a request may be repeated and in whether it is streamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Route {
     Once,
@@ -68,7 +68,7 @@
     }
 }
 
-/// One try of a caller.
+/// One attempt of a caller.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub id: String,
@@ -80,12 +80,12 @@
     pub begun: Instant,
     pub ended: Instant,
     pub progress: Progress,
-    /// Whether its caller left before its end, as it had meant to.
+    /// Whether its caller abandoned it, as planned.
     pub left: bool,
 }
 
 impl Call {
-    /// What its caller saw, for the timeline.
+    /// The timeline entries of what its caller saw.
     pub fn told(&self) -> Vec<(Instant, String)> {
         let (id, gateway) = (&self.id, self.gateway);
         let begun = format!("caller  {id} begins {:?} at {gateway}", self.route);
@@ -94,14 +94,14 @@
     }
 }
 
-/// Where callers ask for addresses, and what they have seen.
+/// What all callers share: where they resolve addresses, and the calls that they record.
 #[derive(Clone, Default)]
 pub struct World {
     pub directories: Arc<Vec<SocketAddr>>,
     pub calls: Arc<Mutex<Vec<Call>>>,
 }
 
-/// Headers by which routers order something of a target; some callers forge them.
+/// Headers by which a gateway instructs a target. Some callers forge them.
 pub const ORDERS: [&str; 7] = [
     "x-kv-hold",
     "x-pin-ms",
@@ -111,10 +111,10 @@
     "x-expect-version",
     "x-expect-instance",
 ];
-/// The value of a forged order.
+/// Value of a forged header.
 pub const FORGED: &str = "1000";
 
-/// What a caller is about to ask.
+/// A request to send, the same in each attempt.
 struct Wish {
     route: Route,
     work: Work,
@@ -122,7 +122,7 @@
     body: String,
     pieces: Option<Pieces>,
     leave: Option<Duration>,
-    /// An order that it forges.
+    /// The header of [`ORDERS`] that it forges.
     forged: Option<&'static str>,
 }
 
@@ -135,7 +135,7 @@
     addresses: Vec<SocketAddr>,
     held_until: Instant,
     count: u32,
-    /// Whether its key was refused the last time.
+    /// Whether its key was refused in its last call.
     is_refused: bool,
 }
 
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Calls until the end of the load.
+    /// Sends requests until the end of the load.
     pub async fn run(mut self, end: Instant) {
         while Instant::now() < end {
             let pause = self.rng.random_range(0..self.plan.pause);
@@ -239,7 +239,7 @@
             .with(Work::HEADER, &wish.work.text())
     }
 
-    /// One try; returned is when to come back, where another try is in order.
+    /// Makes one attempt. Returns the wait before the next one, if it is to be retried.
     async fn call(&mut self, wish: &Wish, returns: bool) -> Option<Duration> {
         self.count += 1;
         let id = format!("{}-{}", self.name, self.count);
@@ -272,7 +272,7 @@
         wait
     }
 
-    /// A connection: a kept one where the caller keeps them, or a new one by the addresses it holds.
+    /// Returns a kept connection, if there is one to reuse, or opens one to a resolved address.
     async fn line(&mut self, returns: bool) -> Option<Line> {
         self.lines.retain(Line::is_open);
         let wants_kept = !returns && (self.lines.len() >= LINES || self.rng.random_bool(0.8));
@@ -283,7 +283,7 @@
         if Instant::now() >= self.held_until || self.addresses.is_empty() {
             self.resolve().await;
         }
-        // Those that have failed are left out, as long as there are others.
+        // Tries each address once, in random order.
         let mut left: VecDeque<SocketAddr> = self.addresses.iter().copied().collect();
         while !left.is_empty() {
             let number = self.rng.random_range(0..left.len());
@@ -332,7 +332,7 @@
     }
 }
 
-/// When a try is to be followed by another one.
+/// The wait before a retry, if the call is to be retried.
 fn wait(call: &Call) -> Option<Duration> {
     if call.left {
         return None;
--- a/tests/soak/ending.rs
+++ b/tests/soak/ending.rs
@@ -1,4 +1,4 @@
-//! The end of a run: what was spent, whether the deployment is whole again, and what was broken.
+//! The end of a run: checks the spending and the recovery of the deployment, and collects the violations.
 
 use std::collections::HashSet;
 use std::time::Instant;
@@ -14,19 +14,19 @@
 use crate::promise::{Broken, WHOLE, spent, tally};
 
 impl Run {
-    /// Requests that have ended and of which nothing came to their callers: a customer has not got what was
-    /// lost on the way, or came after it left.
+    /// Requests that have ended without any part of a target's response at their callers: tokens that were lost on the
+    /// way, or that arrived after the caller left, do not count as used.
     pub(super) fn unseen(&self) -> HashSet<String> {
         let calls = self.world.calls.lock().unwrap();
-        // A refusal has a body of its own, of which no token is a target's.
+        // The body of a refusal holds no tokens of a target.
         let has_got =
             |call: &&Call| call.progress.status() == Some(200) && !call.progress.body.is_empty();
         let unseen = calls.iter().filter(|call| !has_got(call));
         unseen.map(|call| call.id.clone()).collect()
     }
 
-    /// BUDGET: a customer has not got more than is prepaid. What it gets only grows, so a look before
-    /// each time that more is prepaid, and one at the end, see each moment.
+    /// BUDGET: a customer has not used more than it has prepaid. Usage only grows, so one check before each top-up and
+    /// one at the end cover the whole run.
     pub(super) fn check_spend(&self) -> u64 {
         let spent = spent(&self.arrivals(), Owner::Scarce, &self.unseen());
         let prepaid = self.config.prepaid;
@@ -42,10 +42,9 @@
         prepaid.saturating_sub(spent)
     }
 
-    /// Spends what is left of the customer whose tokens run out, at all gateways at once, until each says
-    /// that nothing is left: what was granted twice shows only then.
-    /// Returned are the gateways that neither served nor said so within the bound, with their last status:
-    /// no rule bounds that, so it is told and breaks no promise.
+    /// Spends the remaining tokens of [`Owner::Scarce`] at all gateways concurrently until each answers that none are left:
+    /// tokens that were granted twice show only then. Returns the gateways that gave no such answer within the bound, with
+    /// their last status. No rule sets this bound, so this is reported and is no violation.
     pub(super) async fn use_up(&self) -> Vec<(String, Option<u16>)> {
         let spend = |place: &Place| {
             let (front, name) = (place.front, place.name.clone());
@@ -105,8 +104,7 @@
         }
     }
 
-    /// RECOVER: once nothing happens any more, each gateway serves each route within a bound, and none
-    /// has ended by itself.
+    /// RECOVER: after the last step each gateway serves each route within a bound, and none has exited on its own.
     pub(super) async fn is_whole_again(&self) -> Vec<Broken> {
         let mut broken = Vec::new();
         for place in &self.places {
@@ -143,9 +141,9 @@
     }
 }
 
-/// Tokens of a prompt that uses up what is left: few requests to the end of a budget.
+/// Prompt tokens of a request that spends the remaining budget: large enough that few requests use it up.
 const BITE: u64 = 120;
-/// Most tokens of its answer.
+/// Maximum number of tokens of its response.
 const BITE_OUT: u64 = 20;
 const BITE_WORK: Work = Work {
     wait: 0,
@@ -154,5 +152,5 @@
     gap: 2,
 };
 
-/// How the ids of requests begin that ask whether the service is whole.
+/// Id prefix of requests that check the recovery and spend the remaining tokens.
 const PROBE: &str = "whole-";
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside: what is done to gateways, targets and the store, and undone later.
+//! External faults of gateways, targets and the store, which are injected and later undone.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,12 +14,12 @@
 use crate::plan::{BACK_MAX, Return, TARGETS};
 use crate::said::{Said, Spoken};
 
-/// Time from when a lapsed target counts as gone until another instance has its address: some time past the bound
-/// for requests to it, since it begins early in the load.
+/// Time from when a lapsed target counts as gone until another instance takes its address. It goes well past the bound
+/// for requests to the old instance, which fits in the run since entries lapse early in the load.
 const UNTIL_LAPSED_REPLACED: Duration = Duration::from_secs(5);
 
 impl Run {
-    /// Kills a gateway and starts it again.
+    /// Kills a gateway and restarts it.
     pub(super) fn kill(&mut self, number: usize, pause: Duration) {
         let place = self.places[number].clone();
         if place.is_taken() {
@@ -61,7 +61,7 @@
         });
     }
 
-    /// The store misbehaves towards a gateway or all of them for a while.
+    /// Sets a fault of the store towards one gateway, or all of them, for a while.
     pub(super) fn harm_store(&mut self, some: Option<usize>, fault: Fault, span: u64) {
         let chosen = |place: &(usize, &Place)| some.is_none_or(|number| number == place.0);
         let places = self.places.iter().enumerate().filter(chosen);
@@ -81,7 +81,7 @@
         );
     }
 
-    /// The store falls silent for all, and comes back from a copy of a while before.
+    /// Lets the store stop answering all gateways, and restores it from an earlier copy.
     pub(super) fn restore_store(&mut self, age: u64, away: u64, again: u64) {
         let copy = self.store.copy();
         let begun = Instant::now();
@@ -110,7 +110,7 @@
         });
     }
 
-    /// Begins something and ends it after so many milliseconds.
+    /// Turns something on, and off again after `span` milliseconds.
     pub(super) fn during(&mut self, span: u64, what: String, set: impl Fn(bool) + Send + 'static) {
         self.journal.note(what.clone());
         set(true);
@@ -122,8 +122,8 @@
         });
     }
 
-    /// A target's entry lapses while the store is away. Its instance lives on, and writes the entry again once
-    /// the store is back, or never: then it counts as gone, and another one has its address later.
+    /// Lets a target's entry lapse while the store is unavailable. The instance keeps running and writes the entry again
+    /// after the store is back, or never: then it counts as gone, and another instance takes its address later.
     pub(super) fn lapse(&mut self, number: usize, back: Return, span: u64) {
         if !self.take_target(number) {
             return;
@@ -164,7 +164,7 @@
         });
     }
 
-    /// Takes a target in hand, unless another one of its service is.
+    /// Reserves a target for a step, unless a target of the same service is reserved. Returns whether it did.
     pub(super) fn take_target(&self, number: usize) -> bool {
         let mut leaving = self.leaving.lock().unwrap();
         let is_same = |other: &usize| TARGETS[*other] == TARGETS[number];
@@ -175,7 +175,7 @@
         is_free
     }
 
-    /// A target's process ends with its connections, and starts again under its id.
+    /// Crashes a target's process with its connections; it restarts under the same id.
     pub(super) fn restart(&mut self, number: usize) {
         if !self.take_target(number) {
             return;
@@ -191,8 +191,8 @@
         });
     }
 
-    /// A target says something of itself in its answers for a while; one that leaves ends then, and another instance
-    /// has its address.
+    /// Lets a target send a notice in its responses for a while. A target that announced that it leaves ends then, and
+    /// another instance takes its address.
     pub(super) fn say(&mut self, number: usize, said: Said, span: Duration) {
         if !self.take_target(number) {
             return;
@@ -234,8 +234,8 @@
         });
     }
 
-    /// A target vanishes. An instance of another service is at its address until its entry goes, and a
-    /// new one of its own after that.
+    /// Crashes a target. An instance of another service has its address until some time after its entry is removed, and
+    /// then a new instance of its own service.
     pub(super) fn crash(&mut self, number: usize) {
         if !self.take_target(number) {
             return;
@@ -260,7 +260,7 @@
     }
 }
 
-/// The name of the instance that comes after one.
+/// The name of the instance that follows the given one.
 fn next_life(instance: &str) -> String {
     let (place, life) = instance.split_once('-').unwrap();
     format!("{place}-{}", life.parse::<u32>().unwrap() + 1)
--- a/tests/soak/line.rs
+++ b/tests/soak/line.rs
@@ -1,5 +1,5 @@
-//! One connection of a caller. Unlike the one of the gateway it tells how far a request and its answer
-//! came, and sends a body in pieces.
+//! A caller's HTTP connection. Unlike the gateway's own client it records how far a request and its response got, and
+//! can send a body in pieces.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -16,36 +16,36 @@
 use crate::deployment::Ask;
 use crate::deployment::server::Body;
 
-/// Longest wait for a connection: what callers of the platform give a new one.
+/// Connect timeout of the platform's callers.
 const CONNECT: Duration = Duration::from_secs(1);
 
-/// How far a request and its answer came.
+/// How far a request and its response got.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// When its last byte was handed to the connection.
+    /// When the last byte of the request was handed to the connection.
     pub sent: Arc<OnceLock<Instant>>,
-    /// Status and headers of the answer.
+    /// Status and headers of the response.
     pub head: Option<(u16, HeaderMap)>,
     pub body: Vec<u8>,
     pub end: End,
-    /// Whether a connection without an answer ended in order, as it does where nothing of what was sent is
-    /// left unread, and not by a reset.
+    /// Whether a connection without a response was closed and not reset. A close resets the connection if sent data was
+    /// left unread.
     pub in_order: bool,
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum End {
-    /// Not yet, and its caller stopped waiting.
+    /// It had not ended when its caller stopped waiting.
     #[default]
     Open,
-    /// Nothing of it was sent.
+    /// Nothing was sent.
     Unsent,
-    /// The connection ended before the head of an answer.
+    /// The connection ended before the head of a response.
     Closed,
-    /// The answer broke off.
+    /// The response was cut off.
     Cut,
-    /// The answer is whole.
+    /// The response is complete.
     Whole,
 }
 
@@ -61,7 +61,7 @@
 }
 
 impl Progress {
-    /// What a caller saw of a try, for the timeline.
+    /// The timeline entries of an attempt, as its caller saw it.
     pub fn told(
         &self,
         id: &str,
@@ -86,28 +86,28 @@
     }
 }
 
-/// Sizes of the pieces of a body, and the pause before each.
+/// The size of the pieces of a body, and the pause before each.
 #[derive(Clone, Debug)]
 pub struct Pieces {
     pub size: usize,
     pub pause: Duration,
 }
 
-/// How a caller reads.
+/// How a caller reads responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
     AtOnce,
-    /// It takes little at a time, and begins so long after the head of an answer.
+    /// With a small receive buffer, and only after this pause from the head of a response on.
     Slowly(Duration),
 }
 
-/// What the system keeps for a caller that reads slowly, in bytes: less than a long answer.
+/// Receive buffer of a caller that reads slowly, in bytes: smaller than a long response.
 const SLOW_BUFFER: u32 = 16 << 10;
 
 pub struct Line {
     sender: SendRequest<Body>,
     pub address: SocketAddr,
-    /// When the connection was there.
+    /// When the connection was established.
     pub opened: Instant,
     /// Requests that were sent on it.
     pub asked: u32,
@@ -124,7 +124,7 @@
         let stream = tokio::time::timeout(CONNECT, connect).await.ok()?.ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // Its errors show where an answer is waited for.
+        // Errors of the connection surface in the request that waits on it.
         tokio::spawn(async move {
             let _ = connection.await;
         });
@@ -141,7 +141,7 @@
         self.sender.is_ready()
     }
 
-    /// Sends a request and reads its answer, as far as either comes.
+    /// Sends a request and reads its response, as far as either gets.
     pub async fn ask(&mut self, ask: &Ask, pieces: Option<&Pieces>, progress: &mut Progress) {
         self.asked += 1;
         let body = body(&ask.body, pieces, &progress.sent);
@@ -178,7 +178,7 @@
             }
         }
         progress.end = End::Whole;
-        // It can be used again once its connection has seen the end of the answer.
+        // The connection can be reused only after it has processed the end of the response.
         let _ = self.sender.ready().await;
     }
 }
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -1,17 +1,17 @@
-//! The operator's configuration in a soak, as its steps change it.
+//! The operator's configuration in a run, which steps change.
 
 use serde_json::{Value, json};
 
 use crate::deployment::config;
 use crate::plan::{Owner, SCARCE};
 
-/// Prepaid tokens that no run uses up.
+/// Prepaid tokens of customers that never run out within a run.
 const PLENTY: u64 = 100_000_000;
-/// Targets that one request may be sent to: more than one also where it may run only once, since a
-/// refusal by a target allows another.
+/// Maximum number of targets that a request is sent to. It is above one also for requests that may run only once, since
+/// a target's refusal allows another attempt.
 const ATTEMPTS: u32 = 3;
 
-/// The operator's configuration.
+/// The parts of the configuration that steps change.
 pub struct Config {
     pub version: u64,
     pub weights: (u32, u32),
--- a/tests/soak/place.rs
+++ b/tests/soak/place.rs
@@ -1,4 +1,4 @@
-//! A gateway's place in a soak: one process after the other under one name.
+//! A gateway of a run, across restarts: successive processes under one name and with the same addresses.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 
 use crate::deployment::{Ask, Gateway, try_ask};
 
-/// A gateway and whether a step has it in hand.
+/// A gateway, and whether a step is in progress on it.
 #[derive(Clone)]
 pub struct Place {
     pub gateway: Arc<Mutex<Gateway>>,
@@ -16,7 +16,7 @@
     pub ready: SocketAddr,
     pub store: SocketAddr,
     pub log: PathBuf,
-    /// Bytes of its log before the process that runs now.
+    /// Length of its log, in bytes, when the current process was started.
     pub earlier: Arc<Mutex<usize>>,
 }
 
@@ -42,8 +42,8 @@
         *self.is_taken.lock().unwrap()
     }
 
-    /// Whether the process takes signals: until it has said that it is started, SIGHUP ends it, as it
-    /// does with each program until its first line has run.
+    /// Whether the current process has logged that it started. Before it installs its handlers, SIGHUP kills it, as it
+    /// kills any process by default.
     pub fn has_begun(&self) -> bool {
         let log = std::fs::read(&self.log).unwrap_or_default();
         let own = log.get(*self.earlier.lock().unwrap()..).unwrap_or_default();
@@ -56,7 +56,7 @@
         self.gateway.lock().unwrap().start_again();
     }
 
-    /// Sends a signal, if the process is there.
+    /// Sends a signal if the process is running.
     pub fn signal(&self, name: &str) {
         let mut gateway = self.gateway.lock().unwrap();
         if !gateway.has_ended() {
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -1,5 +1,5 @@
-//! What happens in a run, drawn from its seed before it begins: the deployment, its callers, and when
-//! which step is taken. The same seed gives the same plan.
+//! The plan of a run: its deployment, its callers, and its steps with their times. All of it is drawn from the seed
+//! before the run starts, so the same seed gives the same plan.
 
 use crate::deployment::runner::Mode;
 use crate::deployment::store::Fault;
@@ -8,49 +8,50 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// How long callers send, in milliseconds: long enough that each gateway is stopped once or twice.
+/// Duration of the load, in milliseconds: long enough that each gateway is stopped once or twice.
 const LOAD: u64 = 7_000;
-/// Room before the first step, in milliseconds: callers have open connections by then.
+/// Time before the first step, in milliseconds: callers have open connections by then.
 const FIRST: u64 = 500;
 /// Longest time between steps, in milliseconds: shorter than a stop takes, so that steps overlap.
 const GAP: u64 = 500;
-/// Prepaid tokens of the customer that runs out, at the start and added by a top-up.
+/// Prepaid tokens of [`Owner::Scarce`] at the start, and those that a top-up adds.
 pub const SCARCE: u64 = 1_500;
 pub const TOP_UP: u64 = 800;
 
-/// Each so manyth seed with faults has lapsed entries, and no other fault of the store and no freeze: bounds by
-/// time wait for these, and would never hold.
+/// Every third seed with faults lets entries lapse, and then has no other store fault and no freeze: time bounds are
+/// suspended during those, so with them the bounds would never be checked.
 const LAPSING: u64 = 3;
-/// Lapsed entries of such a run.
+/// Entries that lapse in such a run.
 const LAPSES: usize = 2;
-/// Crashes of targets that start again under their id, in each seed with faults that comes after one with lapses.
+/// Crashes of targets that restart under the same id, in each seed with faults that follows one with lapses.
 const RESTARTS: usize = 4;
-/// When they lapse at the latest, in milliseconds: callers are there when the bound is over.
+/// Latest time at which they lapse, in milliseconds: early enough that callers still send when the bound has passed.
 const LAPSE_LAST: u64 = 1_300;
-/// A target that lives is back within about two seconds of the store, in milliseconds.
+/// Longest time until a running target writes its entry again after the store is back, in milliseconds: targets do so
+/// within about two seconds.
 pub const BACK_MAX: u64 = 2_000;
 
-/// What a caller does with connections and addresses.
+/// How a caller uses connections and resolved addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Habit {
-    /// Keeps connections and uses them until the other side has closed them.
+    /// Keeps connections and reuses them until the other side closes them.
     Kept,
-    /// Opens a connection for each request, by an answer about addresses that it heeds.
+    /// Opens a connection for each request and respects the lifetime of the resolved addresses.
     Fresh,
-    /// The same, and holds an answer for three times as long as it says.
+    /// As [`Self::Fresh`], but uses resolved addresses for three times their lifetime.
     Stale,
-    /// As [`Self::Stale`], and reads long answers slowly.
+    /// As [`Self::Stale`], and reads long responses slowly.
     Slow,
 }
 
-/// Whose key a caller shows.
+/// The customer whose key a caller sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Owner {
-    /// With tokens for all that it asks.
+    /// Has tokens for all its requests.
     Rich,
-    /// Whose tokens run out.
+    /// Runs out of tokens.
     Scarce,
-    /// Whose key is taken away.
+    /// Its key is revoked during the run.
     Revoked,
 }
 
@@ -77,75 +78,75 @@
     pub seed: u64,
     pub habit: Habit,
     pub owner: Owner,
-    /// Longest pause between its calls, in milliseconds.
+    /// Longest pause between two requests, in milliseconds.
     pub pause: u64,
-    /// Whether it comes back after a refusal that says when.
+    /// Whether it retries a request that failed or was refused.
     pub retries: bool,
-    /// Part of its calls that it leaves early, 0 to 1.
+    /// Share of its requests that it abandons early, 0 to 1.
     pub leaves: f64,
 }
 
 /// A change of configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Weights of the two services of plain routes.
+    /// New weights of the two services of plain routes.
     Weights(u32, u32),
     /// More prepaid tokens.
     TopUp,
-    /// Time-outs of all routes, in milliseconds.
+    /// A new timeout of all routes, in milliseconds.
     Timeout(u64),
-    /// The key of [`Owner::Revoked`] is taken away.
+    /// Revokes the key of [`Owner::Revoked`].
     TakeKey,
 }
 
-/// What is done to the deployment. Gateways and targets are numbers.
+/// An operation or fault. Gateways and targets are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// SIGTERM, and a start under the same name so many milliseconds after the process has ended.
+    /// SIGTERM, and a restart under the same name this many milliseconds after the process has exited.
     Stop(usize, u64),
     /// SIGHUP.
     Reload(usize),
     Change(Change),
-    /// The target says that it drains, or its entry goes at once; it is another instance later.
+    /// The target drains, or its entry is removed at once; another instance takes its address later.
     Leave(usize, Notice),
-    /// SIGKILL, and a start under the same name so many milliseconds later.
+    /// SIGKILL, and a restart under the same name this many milliseconds later.
     Kill(usize, u64),
-    /// SIGSTOP, and SIGCONT so many milliseconds later.
+    /// SIGSTOP, and SIGCONT this many milliseconds later.
     Freeze(usize, u64),
-    /// The store treats a gateway, or all of them, so for so many milliseconds.
+    /// The store has a fault towards one gateway, or all of them, for this many milliseconds.
     Store(Option<usize>, Fault, u64),
-    /// The store drops the history of all topics.
+    /// The store compacts all topics.
     Compact,
-    /// The store is copied, falls silent so many milliseconds later, and comes back from the copy after so many more;
-    /// what others had written is written again so many after that.
+    /// The store is copied; after the first time (in milliseconds) it stops answering, after the second it is restored
+    /// from the copy, and after the third its other writers repeat the writes that were lost.
     Restore(u64, u64, u64),
-    /// The way to a target is harmed for so many milliseconds.
+    /// The link to a target has a fault for this many milliseconds.
     Link(usize, Harm, u64),
-    /// A target behaves so for so many milliseconds.
+    /// A target runs in a faulty mode for this many milliseconds.
     Target(usize, Mode, u64),
-    /// A target's entry lapses while the store is away for so many milliseconds.
+    /// A target's entry lapses while the store is unavailable for this many milliseconds.
     Lapse(usize, Return, u64),
-    /// A target vanishes, and at once an instance of a service that no route names has its address.
+    /// A target crashes, and an instance of a service that no route names takes its address at once.
     Crash(usize),
-    /// A target's process ends, and starts again under its id.
+    /// A target's process crashes and restarts under the same id.
     Restart(usize),
-    /// A target says this of itself for so many milliseconds.
+    /// A target sends a notice about itself for this many milliseconds.
     Say(usize, Said, u64),
 }
 
 /// How a target leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Notice {
-    /// It says that it drains; its entry goes later.
+    /// Its entry says that it drains, and is removed later.
     Draining,
-    /// Its entry goes.
+    /// Its entry is removed at once.
     Gone,
 }
 
 /// Whether a target whose entry has lapsed writes it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Return {
-    /// So many milliseconds after the store is back.
+    /// This many milliseconds after the store is back.
     After(u64),
     Never,
 }
@@ -154,25 +155,25 @@
 pub struct Plan {
     pub seed: u64,
     pub gateways: usize,
-    /// Life of an answer about addresses, in milliseconds.
+    /// Lifetime of resolved addresses, in milliseconds.
     pub keep: u64,
-    /// Time that the store takes for a call without any fault, in milliseconds.
+    /// Latency of a store call without a fault, in milliseconds.
     pub store: u64,
     pub callers: Vec<Caller>,
     /// Steps, each with its time in milliseconds.
     pub steps: Vec<(u64, Step)>,
     pub load: u64,
     pub kind: Kind,
-    /// Longest age of a copy that gateways are told, in milliseconds.
+    /// Maximum age of a restored copy that gateways are configured with, in milliseconds.
     pub copy_age: u64,
 }
 
-/// What a run is made of.
+/// Which steps a run has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// Planned work and nothing else.
+    /// Only planned operations.
     Planned,
-    /// Faults from outside, and planned work among them.
+    /// External faults mixed with planned operations.
     Faults,
 }
 
@@ -180,7 +181,7 @@
 pub const TARGETS: [&str; 6] = ["app", "app", "other", "other", "engine", "engine"];
 
 impl Plan {
-    /// The plan of a seed, with as many gateways as are asked for.
+    /// Draws the plan of a seed. `gateways` overrides the drawn number of gateways.
     pub fn new(seed: u64, kind: Kind, gateways: Option<usize>) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let drawn = rng.random_range(2..=4);
@@ -206,7 +207,7 @@
                 step(&mut rng, gateways)
             };
             plan.steps.push((at, step));
-            // Half of the steps come with another one.
+            // Half of the steps follow the one before within 30 ms, so that they coincide.
             at += if rng.random_bool(0.5) {
                 rng.random_range(0..30)
             } else {
@@ -226,7 +227,7 @@
         plan
     }
 
-    /// The same with a store that comes back from copies.
+    /// Adds restores of the store from copies.
     pub fn with_returns(mut self) -> Self {
         self.steps.extend(returns(self.seed));
         self.steps.sort_by_key(|(at, _)| *at);
@@ -234,7 +235,7 @@
         self
     }
 
-    /// The same with targets that say something of themselves.
+    /// Adds targets that send notices about themselves.
     pub fn with_words(mut self) -> Self {
         self.steps.extend(words(self.seed));
         self.steps.sort_by_key(|(at, _)| *at);
@@ -242,13 +243,13 @@
     }
 }
 
-/// Returns of the store from a copy, in a run that has some, each in its part of the load.
+/// Restores of the store in a run that has any, each in its own part of the load.
 const RETURNS: u64 = 2;
-/// Age of a copy when the store falls silent, at most, in milliseconds.
+/// Maximum age of a copy when the store stops answering, in milliseconds.
 pub const COPY_AGE: u64 = 1_500;
 
 fn returns(seed: u64) -> Vec<(u64, Step)> {
-    // Draws of their own, as above.
+    // A separate generator, as in `lapses`.
     let mut rng = StdRng::seed_from_u64(!seed);
     let part = LOAD / RETURNS;
     let restore = |number| {
@@ -261,13 +262,14 @@
     (0..RETURNS).map(restore).collect()
 }
 
-/// Targets that say something of themselves in a run where some do, each of another service.
+/// Targets that send notices in a run that has any, each of a different service.
 const SPEAKERS: [usize; 3] = [0, 2, 4];
-/// How long they say it, in milliseconds: until the load is nearly over, so that the bounds are seen.
+/// How long they send them, in milliseconds: until shortly before the end of the load, so that the bounds pass within
+/// it.
 const SAID_FOR: u64 = 6_000;
 
 fn words(seed: u64) -> Vec<(u64, Step)> {
-    // Draws of their own, as below.
+    // A separate generator, as in `lapses`.
     let mut rng = StdRng::seed_from_u64(!seed);
     let say = |target| {
         let said = match rng.random_range(0..3) {
@@ -281,7 +283,7 @@
     SPEAKERS.map(say).to_vec()
 }
 
-/// Part of the steps that are faults, 0 to 1, where there are any.
+/// Share of faults among the steps of a run with faults, 0 to 1.
 const FAULTS: f64 = 0.6;
 
 fn fault(rng: &mut StdRng, gateways: usize) -> Step {
@@ -330,7 +332,7 @@
 }
 
 fn lapses(seed: u64) -> Vec<(u64, Step)> {
-    // Draws of their own, so that they don't change the rest of a plan.
+    // A separate generator, so that the rest of the plan does not depend on these draws.
     let mut rng = StdRng::seed_from_u64(!seed);
     let lapse = |_| {
         let back = if rng.random_bool(0.3) {
@@ -346,7 +348,7 @@
 }
 
 fn restarts(seed: u64) -> Vec<(u64, Step)> {
-    // Draws of their own, as above.
+    // A separate generator, as in `lapses`.
     let mut rng = StdRng::seed_from_u64(!seed);
     let restart = |_| {
         let step = Step::Restart(rng.random_range(0..TARGETS.len()));
--- a/tests/soak/promise.rs
+++ b/tests/soak/promise.rs
@@ -1,5 +1,4 @@
-//! The promises, each checked from what callers and targets have seen. docs/PROOFS.md names the rule
-//! behind each.
+//! Checks each promise against what callers and targets have seen. docs/PROOFS.md names the rule behind each.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -13,15 +12,14 @@
 use crate::run::FOREIGN;
 use crate::said::Spoken;
 
-/// How long a whole request may stay unread before its connection is closed. A process reads what has
-/// arrived within milliseconds; a loaded machine may hold it up for many times that.
+/// How long a request that was sent completely may stay unread before its connection is closed. A process reads what
+/// has arrived within milliseconds; a loaded machine may delay it many times longer.
 pub const UNREAD_MAX: Duration = Duration::from_secs(2);
-/// How long a target may get requests after the store has taken that it leaves, and a key may be served
-/// after the store has taken that it is revoked. Both are read at most each half a second; this is six
-/// times as much, for a loaded machine.
+/// How long after the store has accepted the change a leaving target may still get requests, and a revoked key may
+/// still be served. Gateways read both every half second; this is six times as long, for a loaded machine.
 pub const IN_FORCE_MAX: Duration = Duration::from_secs(3);
 
-/// A promise that was broken.
+/// A broken promise.
 #[derive(Clone, Debug)]
 pub struct Broken {
     pub promise: &'static str,
@@ -30,28 +28,29 @@
     pub what: String,
 }
 
-/// What a run has shown.
+/// What callers, targets and steps of a run have recorded.
 #[derive(Default)]
 pub struct Seen {
     pub calls: Vec<Call>,
     pub arrivals: Vec<Arrival>,
-    /// Instances that have left, and when the store took it.
+    /// Instances that have left, and when the store accepted it.
     pub departures: Vec<(String, Instant)>,
-    /// Targets that said something of themselves.
+    /// Notices that targets sent about themselves.
     pub spoken: Vec<Spoken>,
-    /// When the store took that the key of [`Owner::Revoked`] is gone.
+    /// When the store accepted that the key of [`Owner::Revoked`] is revoked.
     pub revoked: Option<Instant>,
-    /// Gateways that were started again, and when.
+    /// Gateways that were restarted, and when.
     pub restarts: Vec<(SocketAddr, Instant)>,
-    /// From when until when a gateway was killed, frozen, or on its way back from either.
+    /// Periods in which a gateway was killed, frozen, or recovering from either.
     pub disturbed: Vec<(SocketAddr, Instant, Instant)>,
-    /// From when until when the store misbehaved or a gateway was frozen: bounds by time wait for it.
+    /// Periods in which the store was faulty or a gateway was frozen; time bounds do not apply then.
     pub unstable: Vec<(Instant, Instant)>,
-    /// Whether anything but planned work happened.
+    /// Whether the run has faults besides planned operations.
     pub has_faults: bool,
 }
 
-/// Tokens that a customer has got: those of each prompt once, and those handed out.
+/// Tokens that a customer has used: those of each prompt once, and all that targets handed out. Requests in `unseen`
+/// are left out.
 pub fn spent(arrivals: &[Arrival], owner: Owner, unseen: &HashSet<String>) -> u64 {
     let mut prompts: HashMap<&str, u64> = HashMap::new();
     let mut handed_out = 0;
@@ -69,7 +68,7 @@
 }
 
 impl Seen {
-    /// All promises that were broken.
+    /// Returns all violations.
     pub fn broken(&self) -> Vec<Broken> {
         let mut runs: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         for arrival in self.arrivals.iter().filter(|arrival| arrival.ran) {
@@ -129,11 +128,11 @@
         told
     }
 
-    /// Whether what the store took at one moment is in force at another one.
+    /// Whether gateways must have applied by `now` what the store accepted at `taken`.
     fn is_in_force(&self, taken: Instant, now: Instant) -> bool {
         let since = now.checked_sub(IN_FORCE_MAX);
         let is_stable = |(from, to): &(Instant, Instant)| {
-            // Within the bound before, the store was stable and no gateway frozen.
+            // The store was healthy and no gateway frozen during the whole bound before `now`.
             since.is_some_and(|since| *to < since) || *from > now
         };
         since.is_some_and(|since| taken < since) && self.unstable.iter().all(is_stable)
@@ -146,7 +145,7 @@
         })
     }
 
-    /// LOST: each whole request that is read ends in a whole answer or a refusal.
+    /// LOST: each request that was read completely ends in a complete response or a refusal.
     fn answered(&self, call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
         if call.left || self.was_disturbed(call) {
             return None;
@@ -161,14 +160,14 @@
                 "closed long after it was sent".to_owned()
             }
             (End::Open, _) => "neither answered nor refused".to_owned(),
-            // With faults, a target may break off what was passed on already.
+            // With faults, a target may cut off a response of which a part was passed on already.
             (End::Cut, _) if !self.has_faults => "its answer broke off".to_owned(),
             _ => return None,
         };
         Some(("LOST", what))
     }
 
-    /// DENIED and ROUTE: a key is served while it is valid, and not after.
+    /// DENIED and ROUTE: a key is served while it is valid, and not afterwards.
     fn allowed(&self, call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
         let revoked = self.revoked.filter(|_| call.owner == Owner::Revoked);
         let is_over = revoked.is_some_and(|at| self.is_in_force(at, call.begun));
@@ -187,7 +186,7 @@
         }
     }
 
-    /// DRAIN: no request reaches a target that has left for long.
+    /// DRAIN: no request runs at a target that left longer ago than [`IN_FORCE_MAX`].
     fn left_alone(&self) -> Vec<Broken> {
         let mut broken = Vec::new();
         for (instance, left) in &self.departures {
@@ -204,20 +203,20 @@
     }
 }
 
-/// TWICE: nothing that may not be repeated runs twice.
+/// TWICE: a request that may not be repeated runs at most once.
 fn once(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let is_twice = !call.route.may_repeat() && runs.len() > 1;
     is_twice.then(|| ("TWICE", format!("ran {} times", runs.len())))
 }
 
-/// REFUSED: what is refused as not run has not run by the end of the run.
+/// REFUSED: a request that was refused as not executed has not run by the end of the test run.
 fn refused(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let status = call.progress.status()?;
     let is_promise = matches!(status, 408 | 421 | 429 | 503);
     (is_promise && !runs.is_empty()).then(|| ("REFUSED", format!("{status}, and it has run")))
 }
 
-/// MIXED and ORDER: an answer is its request's own and whole, or shows that it is not.
+/// MIXED and ORDER: a response belongs to its request, and is complete or visibly cut off.
 fn own_answer(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let progress = &call.progress;
     if progress.status()? != 200 {
@@ -251,7 +250,7 @@
     (!fits).then(|| ("MIXED", format!("another body: {} bytes", body.len())))
 }
 
-/// UNASKED: what runs is what was sent, for the customer that holds the key.
+/// UNASKED: a request runs as it was sent, for the customer that holds the key.
 fn unchanged(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let differs = |run: &&&Arrival| {
         let same = |name| run.headers.get(name) == call.ask.headers.get(name);
@@ -268,7 +267,7 @@
     Some(("UNASKED", format!("changed on its way to {}", run.instance)))
 }
 
-/// ROUTE: nothing runs at a service that its route does not name.
+/// ROUTE: no request runs at a service that its route does not name.
 fn own_service(runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let run = runs.iter().find(|run| run.instance.starts_with(FOREIGN))?;
     Some((
@@ -277,7 +276,7 @@
     ))
 }
 
-/// What the calls of a run ended in, for its summary.
+/// Counts the calls of a run by their outcome, for its summary.
 pub fn tally(calls: &[Call]) -> std::collections::BTreeMap<String, u32> {
     let mut tally = std::collections::BTreeMap::new();
     for call in calls {
@@ -291,5 +290,5 @@
     tally
 }
 
-/// Routes on which a deployment that is whole again answers.
+/// Routes on which a recovered deployment must answer.
 pub const WHOLE: [Route; 4] = Route::ALL;
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy between gateways and a target: it passes bytes on, or harms what passes.
+//! A TCP proxy between gateways and a target that forwards bytes and injects link faults.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -9,18 +9,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-/// What the proxy does with bytes that come while it is set.
+/// What the proxy does with bytes that arrive while the fault is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Harm {
     #[default]
     None,
-    /// They come so many milliseconds later.
+    /// Forwards them after this many milliseconds.
     Delay(u64),
-    /// The connection is closed.
+    /// Closes the connection.
     Reset,
-    /// What the target says is lost, and so is the rest of the connection.
+    /// Forwards to the target, but drops its responses; the connection stalls and is then closed.
     CutBack,
-    /// Nothing passes either way, and the connection is lost.
+    /// Drops bytes in both directions; the connection stalls and is then closed.
     Silence,
 }
 
@@ -30,16 +30,16 @@
     pub address: SocketAddr,
 }
 
-/// Which way bytes go.
+/// The direction of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Way {
     ToTarget,
     Back,
 }
 
-/// Bytes that are passed on at once.
+/// Size of the forwarding buffer, in bytes.
 const CHUNK: usize = 16 << 10;
-/// How long a connection stays silent before it is closed: longer than any request waits.
+/// How long a connection stalls before it is closed: longer than any request waits.
 const SILENCE: Duration = Duration::from_secs(8);
 
 impl Proxy {
@@ -70,7 +70,7 @@
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let (near_read, near_write) = near.into_split();
     let (far_read, far_write) = far.into_split();
-    // When one way ends, both do: a connection that was harmed is not used again.
+    // Both directions end with the first, so that a connection with a fault is not reused.
     tokio::select! {
         () = copy(near_read, far_write, Way::ToTarget, &harm) => {}
         () = copy(far_read, near_write, Way::Back, &harm) => {}
--- a/tests/soak/router/caller.rs
+++ b/tests/soak/router/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of routers: what it asks, where it comes back, and what it was told.
+//! A caller of routers: sends requests, retries them with the same id, and records the answers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,38 +17,39 @@
 use crate::line::{End, Line, Pieces, Progress, Reading};
 use crate::plan::{Habit, Kind};
 
-/// How long a caller waits for an answer: over twice the longest patience of a class and the longest stream,
-/// since a request without an answer by then breaks a promise.
+/// How long a caller waits for a response: over twice the longest wait of a class and the longest stream, since a
+/// request without a response by then breaks a promise.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Longest wait for an entry answer.
+/// Timeout of a request for the entry list.
 const RESOLVE: Duration = Duration::from_secs(1);
 /// Connections that a caller keeps.
 const LINES: usize = 3;
-/// Returns with an id: under faults until a lost router is closed, which takes its witness a second or more.
+/// Maximum number of retries with an id. With faults a caller retries until a lost router is closed, which takes its
+/// witness a second or more.
 const RETURNS: u32 = 12;
-/// Longest wait until a return, in milliseconds: shorter than what a refusal says, so that a run of seconds
-/// has many returns.
+/// Longest wait before a retry, in milliseconds: shorter than a refusal asks for, so that a run of a few seconds has
+/// many retries.
 const RETURN_WAIT: u64 = 400;
-/// Part of the refusals after which a caller that holds its answer about addresses asks for another, 0 to 1.
+/// Share of refusals after which a caller with [`Habit::Stale`] resolves addresses again, 0 to 1.
 const HEEDS: f64 = 0.1;
-/// Longest time to spend what is left, and the pause between two calls.
+/// Longest time to spend the remaining tokens, and the pause between two calls.
 const USE_UP: Duration = Duration::from_secs(5);
 const USE_UP_PAUSE: Duration = Duration::from_millis(10);
 /// Price of a call of the service, in tokens.
 pub const CALL_PRICE: u64 = 50;
 
-/// What is asked.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Work {
-    /// A model call with so many tokens, streamed.
+    /// A streamed model call with this many tokens.
     Stream(u64),
-    /// The same in one answer.
+    /// A model call with this many tokens in one response.
     Whole(u64),
     /// A service call.
     Call,
 }
 
-/// A request, the same in each try.
+/// A request, the same in each attempt.
 #[derive(Clone, Debug)]
 pub struct Wish {
     pub id: String,
@@ -59,7 +60,7 @@
 }
 
 impl Wish {
-    /// What it costs at the price of one.
+    /// Its cost in tokens at a price of one per token.
     pub fn cost(&self) -> u64 {
         match self.work {
             Work::Call => CALL_PRICE,
@@ -69,7 +70,7 @@
         }
     }
 
-    /// The prompt as an engine sees it.
+    /// The prompt as an engine receives it.
     pub fn prompt(&self) -> String {
         format!("user: {}\n", self.text)
     }
@@ -107,7 +108,7 @@
     format!("Bearer {}", key(payer.customer()))
 }
 
-/// One try.
+/// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub wish: Arc<Wish>,
@@ -115,13 +116,13 @@
     pub begun: Instant,
     pub ended: Instant,
     pub progress: Progress,
-    /// Whether its caller left before its end, as it had meant to.
+    /// Whether its caller abandoned it, as planned.
     pub left: bool,
-    /// Age of the connection, where this was the first request on it.
+    /// Age of the connection at its start, if it is the first request on it.
     pub fresh: Option<Duration>,
 }
 
-/// What a try was told of its request.
+/// What the response of an attempt says about whether the request ran; `Ran` has the billed tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Told {
     Ran(u64),
@@ -131,7 +132,7 @@
 }
 
 impl Call {
-    /// What it was told, by the answer's headers or by the last event of a stream.
+    /// The verdict of the response, from its headers or from the last event of a stream.
     pub fn told(&self) -> Told {
         let progress = &self.progress;
         if progress.end != End::Whole {
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Events of a stream that are whole.
+    /// The complete events of a stream.
     pub fn frames(&self) -> Vec<Value> {
         let body = String::from_utf8_lossy(&self.progress.body);
         let whole = body.rsplit_once("\n\n").map_or("", |(whole, _)| whole);
@@ -163,7 +164,7 @@
             .collect()
     }
 
-    /// What its caller saw, for the timeline.
+    /// The timeline entries of what its caller saw.
     pub fn lines(&self) -> Vec<(Instant, String)> {
         let (id, work, router) = (&self.wish.id, self.wish.work, self.router);
         let begins = format!(
@@ -182,12 +183,12 @@
     }
 }
 
-/// Where callers ask, and what they have seen.
+/// What all callers share: the routers, and the requests and calls that they record.
 #[derive(Clone)]
 pub struct World {
     pub routers: Arc<Vec<SocketAddr>>,
     pub kind: Kind,
-    /// All requests, from before their first byte is sent.
+    /// All requests by id, each recorded before its first byte is sent.
     pub asked: Arc<Mutex<HashMap<String, Arc<Wish>>>>,
     pub calls: Arc<Mutex<Vec<Call>>>,
     number: Arc<AtomicU32>,
@@ -210,9 +211,9 @@
     rng: StdRng,
     world: World,
     lines: Vec<Line>,
-    /// Addresses and the prefix of ids there.
+    /// Addresses of routers, each with the prefix of its request ids.
     entries: Vec<(SocketAddr, String)>,
-    /// Whether its last refusal said that the budget is used up.
+    /// Whether its last call was refused because the budget is used up.
     is_exhausted: bool,
 }
 
@@ -228,7 +229,7 @@
         }
     }
 
-    /// Calls until the end of the load.
+    /// Sends requests until the end of the load.
     pub async fn run(mut self, end: Instant) {
         while Instant::now() < end {
             let pause = self.rng.random_range(0..self.plan.pause);
@@ -262,8 +263,8 @@
         }
     }
 
-    /// Spends what is left at a router until it says that nothing is, or for a while: what was granted twice
-    /// shows only then.
+    /// Spends the remaining tokens at a router until it answers that none are left, or until [`USE_UP`] has passed: tokens
+    /// that were granted twice show only then.
     pub async fn use_up(mut self, router: SocketAddr) {
         let end = Instant::now() + USE_UP;
         self.resolve().await;
@@ -281,7 +282,7 @@
         }
     }
 
-    /// A request for the router at an address.
+    /// Draws a request for the router at an address.
     fn wish(&mut self, at: SocketAddr) -> Option<Arc<Wish>> {
         let rng = &mut self.rng;
         let tokens = match rng.random_range(0..10) {
@@ -302,11 +303,11 @@
         self.named(at, work, size)
     }
 
-    /// A request with an id of the router at an address.
+    /// Builds a request with an id of the router at an address.
     fn named(&mut self, at: SocketAddr, work: Work, size: usize) -> Option<Arc<Wish>> {
         let entry = self.entries.iter().find(|(address, _)| *address == at);
         let Some((_, prefix)) = entry else {
-            // A connection that was kept from an earlier answer.
+            // The connection was kept from an earlier entry list, which had this address.
             self.entries.clear();
             return None;
         };
@@ -324,7 +325,7 @@
         Some(wish)
     }
 
-    /// One try; whether another one is in order.
+    /// Makes one attempt. Returns whether it is to be retried.
     async fn call(&mut self, wish: &Arc<Wish>, mut line: Line) -> bool {
         let is_long = wish.text.len() > 1_000;
         let pieces = is_long.then(|| Pieces {
@@ -371,12 +372,12 @@
             (_, Told::Ran(_)) => false,
             (End::Whole, _) => !self.is_exhausted,
             (End::Unsent, _) => true,
-            // Under planned work a request that is lost is not sent again, so that it shows as lost.
+            // Without faults a lost request is not retried, so that it shows as lost.
             _ => self.world.kind == Kind::Faults,
         }
     }
 
-    /// A connection: for a return often to where the request has been before.
+    /// Returns a kept or a new connection. Half of the retries go to the router whose prefix their id has.
     async fn line(&mut self, wish: Option<&Wish>) -> Option<Line> {
         self.lines.retain(Line::is_open);
         let wants_kept = self.lines.len() >= LINES || self.rng.random_bool(0.7);
--- a/tests/soak/router/ending.rs
+++ b/tests/soak/router/ending.rs
@@ -1,4 +1,4 @@
-//! The end of a run: what was spent, and whether the area is whole again.
+//! The end of a run: checks the spending and the recovery of the area.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
@@ -17,8 +17,8 @@
 use crate::router::promise::spent;
 
 impl Run<'_> {
-    /// BUDGET: a customer has not got more than is prepaid. A look before each time that more is prepaid,
-    /// and one at the end, see each moment.
+    /// BUDGET: a customer has not used more than it has prepaid. One check before each top-up and one at the end cover the
+    /// whole run.
     pub(super) fn check_spend(&self) -> u64 {
         let ran: BTreeMap<String, u64> = self.area.ran();
         let asked = self.world.asked.lock().unwrap();
@@ -31,7 +31,7 @@
         prepaid.saturating_sub(spent)
     }
 
-    /// Requests whose callers were told that they ran.
+    /// Requests whose callers got the verdict that they ran.
     pub(super) fn whole(&self) -> HashSet<String> {
         let calls = self.world.calls.lock().unwrap();
         let whole = calls
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Spends what is left of the customer whose tokens run out, at all routers at once.
+    /// Spends the remaining tokens of [`Payer::Scarce`] at all routers concurrently.
     pub(super) fn use_up(&self) {
         let spender = plan::Caller {
             seed: self.plan.seed,
@@ -68,7 +68,7 @@
         self.handle.block_on(spends);
     }
 
-    /// RECOVER: once nothing happens any more, each router serves models and services within a bound.
+    /// RECOVER: after the last step each router serves models and services within a bound.
     pub(super) fn is_whole_again(&self) {
         for kind in ["engine", "tickets"] {
             for number in 0..TARGETS {
@@ -110,11 +110,11 @@
     }
 }
 
-/// Whether an id is one that a router gave: of the requests that ask whether the service is whole.
+/// Whether a router assigned this id. Only the requests that check the recovery are sent without one.
 pub(super) fn is_probe(id: &str) -> bool {
     let number = id.get(id.len().saturating_sub(8)..);
     number.is_some_and(|number| number >= FIRST_OWN)
 }
 
-/// Numbers that callers choose are below this one, in hexadecimal digits.
+/// Lowest number in ids that routers assign, in hexadecimal digits; the numbers that callers choose are lower.
 const FIRST_OWN: &str = "80000000";
--- a/tests/soak/router/mod.rs
+++ b/tests/soak/router/mod.rs
@@ -1,4 +1,4 @@
-//! The soak of `lanedeck router`: routers, their log, host list and targets as processes.
+//! The soak test of `lanedeck router`. Routers, their log, the host list and targets run as processes.
 
 mod caller;
 mod operator;
--- a/tests/soak/router/operator.rs
+++ b/tests/soak/router/operator.rs
@@ -1,4 +1,4 @@
-//! The operator of routers: what it asks of them.
+//! The requests of an operator to routers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use crate::common::area::OPERATOR;
 use crate::deployment::{Ask, try_ask};
 
-/// Longest wait for a question to a router that may be frozen.
+/// Timeout of a request to a router, which may be frozen.
 pub const ASK: Duration = Duration::from_secs(2);
 
 pub fn put(kind: &str, name: &str, object: Value) -> Value {
@@ -35,7 +35,7 @@
     format!("Bearer operator:{OPERATOR}")
 }
 
-/// An operator's question; `None` where it is not answered well.
+/// Sends an operator's request. Returns `None` unless it is answered with 200.
 pub async fn operate(router: SocketAddr, path: &str, body: &Value) -> Option<Value> {
     let ask = Ask::get(path)
         .post(&body.to_string())
--- a/tests/soak/router/plan.rs
+++ b/tests/soak/router/plan.rs
@@ -1,32 +1,32 @@
-//! What happens in a run of routers, drawn from its seed before it begins.
+//! The plan of a run of routers, drawn from its seed before the run starts.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 use crate::plan::{Habit, Kind};
 
-/// How long callers send, in milliseconds: long enough that each router is stopped once or twice.
+/// Duration of the load, in milliseconds: long enough that each router is stopped once or twice.
 const LOAD: u64 = 7_000;
-/// Room before the first step, in milliseconds: callers have open connections by then.
+/// Time before the first step, in milliseconds: callers have open connections by then.
 const FIRST: u64 = 500;
 /// Longest time between steps, in milliseconds: shorter than a stop takes, so that steps overlap.
 const GAP: u64 = 500;
-/// Callers for each router: a request arrives each few milliseconds of a stop.
+/// Callers per router: enough that during a stop a request arrives every few milliseconds.
 const CALLERS: usize = 9;
-/// Prepaid tokens of the customer that runs out, at the start and added by a top-up.
+/// Prepaid tokens of [`Payer::Scarce`] at the start, and those that a top-up adds.
 pub const SCARCE: u64 = 1_500;
 pub const TOP_UP: u64 = 500;
-/// Part of the steps that are faults, 0 to 1, where there are any.
+/// Share of faults among the steps of a run with faults, 0 to 1.
 const FAULTS: f64 = 0.6;
-/// Engines and services: two of each, so that one may drain.
+/// Number of engines, and of services: two, so that one of them may drain.
 pub const TARGETS: usize = 2;
 
-/// What pays for a request.
+/// The customer and budget that pay for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Payer {
-    /// A budget that no run uses up.
+    /// Has a budget that never runs out within a run.
     Rich,
-    /// One that runs out.
+    /// Has a budget that runs out.
     Scarce,
 }
 
@@ -51,11 +51,11 @@
     pub seed: u64,
     pub habit: Habit,
     pub payer: Payer,
-    /// Longest pause between its calls, in milliseconds.
+    /// Longest pause between two requests, in milliseconds.
     pub pause: u64,
-    /// Whether it comes back with the same id.
+    /// Whether it retries requests with the same id.
     pub returns: bool,
-    /// Part of its calls that it leaves early, 0 to 1.
+    /// Share of its calls that it abandons early, 0 to 1.
     pub leaves: f64,
 }
 
@@ -64,11 +64,11 @@
 pub enum Change {
     /// More prepaid tokens for [`Payer::Scarce`].
     TopUp,
-    /// An engine gets no new work, or work again.
+    /// Whether an engine gets new work.
     Engine(usize, Work),
-    /// The same of a service.
+    /// Whether a service gets new work.
     Service(usize, Work),
-    /// Longest wait of the class of all requests, in milliseconds.
+    /// A new longest wait of the class that all requests have, in milliseconds.
     Patience(u64),
 }
 
@@ -82,11 +82,11 @@
 /// Faults of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Harm {
-    /// It refuses a part of its requests, in thousandths; a service refuses all.
+    /// An engine refuses this share of its requests, in thousandths; a service refuses all.
     Refuses(u32),
-    /// An engine cuts a part of its streams, in thousandths; a service acts and answers with an error.
+    /// An engine cuts this share of its streams, in thousandths; a service executes each request and answers with an error.
     Breaks(u32),
-    /// It is slow: an engine so many times, a service so many tens of milliseconds.
+    /// An engine is slower by this factor; a service answers after this many times ten milliseconds.
     Slow(u32),
 }
 
@@ -94,30 +94,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LogHarm {
     Down,
-    /// Each answer takes so many milliseconds.
+    /// Each answer takes this many milliseconds.
     Slow(u64),
-    /// A part of the appends is taken, and answered with an error, in thousandths.
+    /// This share of the appends, in thousandths, is stored but answered with an error.
     Loses(u32),
 }
 
-/// What is done. Routers and targets are numbers.
+/// An operation or fault. Routers and targets are given by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// SIGTERM, and a start on the same addresses so many milliseconds after the process has ended.
+    /// SIGTERM, and a restart on the same addresses this many milliseconds after the process has exited.
     Stop(usize, u64),
     /// SIGHUP.
     Reload(usize),
     /// A change, confirmed at a router.
     Change(usize, Change),
-    /// SIGKILL, and a start on the same addresses so many milliseconds later.
+    /// SIGKILL, and a restart on the same addresses this many milliseconds later.
     Kill(usize, u64),
-    /// SIGSTOP, and SIGCONT so many milliseconds later.
+    /// SIGSTOP, and SIGCONT this many milliseconds later.
     Freeze(usize, u64),
-    /// The log misbehaves for so many milliseconds.
+    /// The log has a fault for this many milliseconds.
     Log(LogHarm, u64),
-    /// An engine misbehaves for so many milliseconds.
+    /// An engine has a fault for this many milliseconds.
     Engine(usize, Harm, u64),
-    /// A service misbehaves for so many milliseconds.
+    /// A service has a fault for this many milliseconds.
     Service(usize, Harm, u64),
 }
 
@@ -126,8 +126,7 @@
     pub seed: u64,
     pub kind: Kind,
     pub routers: usize,
-    /// Time that the log takes for an answer without any fault, in milliseconds: as long as it takes to give
-    /// grants back.
+    /// Latency of the log without a fault, in milliseconds. Giving back grants takes this long.
     pub log: u64,
     pub callers: Vec<Caller>,
     /// Steps, each with its time in milliseconds.
@@ -136,7 +135,7 @@
 }
 
 impl Plan {
-    /// The plan of a seed, with as many routers as are asked for.
+    /// Draws the plan of a seed. `routers` overrides the drawn number of routers.
     pub fn new(seed: u64, kind: Kind, routers: Option<usize>) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let drawn = rng.random_range(2..=4);
@@ -157,7 +156,7 @@
                 _ => step(&mut rng, routers),
             };
             plan.steps.push((at, step));
-            // Half of the steps come with another one.
+            // Half of the steps follow the one before within 30 ms, so that they coincide.
             at += if rng.random_bool(0.5) {
                 rng.random_range(0..30)
             } else {
@@ -188,7 +187,7 @@
 
 fn step(rng: &mut StdRng, routers: usize) -> Step {
     let router = rng.random_range(0..routers);
-    // The first of each kind always takes work.
+    // The first target of each kind never drains.
     let target = rng.random_range(1..TARGETS);
     let work = [Work::None, Work::Any][rng.random_range(0..2)];
     match rng.random_range(0..20) {
--- a/tests/soak/router/promise.rs
+++ b/tests/soak/router/promise.rs
@@ -1,4 +1,4 @@
-//! The promises of routers, each checked from what callers and targets have seen.
+//! Checks each promise of routers against what callers and targets have seen.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -14,11 +14,11 @@
 use crate::line::End;
 use crate::promise::{Broken, UNREAD_MAX};
 
-/// A new connection on which a request was sent within this is not closed before it is read: half of the time
-/// that a router keeps one for its first request.
+/// If a request was sent on a new connection within this time, the router must read it before it closes the
+/// connection: half of the time that a router keeps a connection open for its first request.
 const FRESH_MAX: Duration = Duration::from_millis(50);
 
-/// What a run has shown.
+/// What callers, targets and steps of a run have recorded.
 #[derive(Default)]
 pub struct Seen {
     pub calls: Vec<Call>,
@@ -26,13 +26,13 @@
     pub asked: HashMap<String, Arc<Wish>>,
     /// How often each id ran, over all targets.
     pub ran: BTreeMap<String, u64>,
-    /// From when until when a router was killed, frozen, or on its way back from either.
+    /// Periods in which a router was killed, frozen, or recovering from either.
     pub disturbed: Vec<(SocketAddr, Instant, Instant)>,
     pub has_faults: bool,
 }
 
-/// Tokens that a payer got for requests that ran, each once. Where targets break streams off, a request is
-/// billed what came of it; such ones are left out, and `whole` has those whose answers came whole.
+/// Tokens that a payer used for requests that ran, each counted once. With faults, targets may cut streams off, and such
+/// a request is billed only what it delivered: if `whole` is given, model calls that are not in it are left out.
 pub fn spent(
     asked: &HashMap<String, Arc<Wish>>,
     ran: &BTreeMap<String, u64>,
@@ -48,7 +48,7 @@
 }
 
 impl Seen {
-    /// All promises that were broken.
+    /// Returns all violations.
     pub fn broken(&self) -> Vec<Broken> {
         let mut broken = Vec::new();
         let mut by_id: HashMap<&str, Vec<&Call>> = HashMap::new();
@@ -83,7 +83,7 @@
         broken
     }
 
-    /// What a payer's callers were told as billed, each request once.
+    /// Sum of the bills that a payer's callers were told, each request counted once.
     pub fn told_billed(&self, payer: Payer) -> u64 {
         let mut bills: HashMap<&str, u64> = HashMap::new();
         for call in self.calls.iter().filter(|call| call.wish.payer == payer) {
@@ -116,7 +116,7 @@
         })
     }
 
-    /// LOST: each whole request that is read ends in a whole answer or a refusal.
+    /// LOST: each request that was read completely ends in a complete response or a refusal.
     fn answered(&self, call: &Call, runs: u64) -> Option<(&'static str, String)> {
         if call.left || self.was_disturbed(call) {
             return None;
@@ -128,7 +128,7 @@
         let what = match progress.end {
             End::Open => "neither answered nor refused",
             End::Cut if !self.has_faults => "its answer broke off",
-            // Its tries under faults may have run earlier.
+            // With faults, an earlier attempt of the request may be the one that ran.
             End::Closed if runs > 0 && !self.has_faults => "ran, and its connection was closed",
             End::Closed if progress.in_order && first.is_some_and(|age| age < FRESH_MAX) => {
                 "read on a new connection, which ended without an answer"
@@ -145,7 +145,7 @@
 }
 
 impl Seen {
-    /// DENIED: a proper request is not turned away for what its caller did.
+    /// DENIED: a valid request is not refused with an error that blames its caller.
     fn denied(&self, call: &Call) -> Option<(&'static str, String)> {
         match call.progress.status()? {
             status @ 400..=404 if status != 402 => {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// REFUSED: where the last word on a request is that it has not run, it has not, and does not later.
+    /// REFUSED: if the last verdict on a request is that it has not run, it has not run by the end of the test run.
     fn refused(&self, tries: &[&Call], runs: u64) -> Option<(&'static str, String)> {
         let last = tries.iter().max_by_key(|call| call.begun)?;
         let is_promise = last.told() == Told::NotRun;
@@ -166,14 +166,14 @@
     }
 }
 
-/// Whether a stream ended with the word that it broke off.
+/// Whether a stream's last event says that the stream was cut off.
 fn broke_off(call: &Call) -> bool {
     let is_stream = matches!(call.wish.work, Work::Stream(_));
     let is_whole = call.progress.status() != Some(200) || matches!(call.told(), Told::Ran(_));
     is_stream && !is_whole
 }
 
-/// TWICE: nothing that may not be repeated runs twice.
+/// TWICE: a request that may not be repeated runs at most once.
 fn once(tries: &[&Call], runs: u64) -> Option<(&'static str, String)> {
     let is_twice = !tries.first()?.wish.repeatable && runs > 1;
     is_twice.then(|| {
@@ -184,20 +184,20 @@
     })
 }
 
-/// UNSERVED: what is said to have run has.
+/// UNSERVED: a request whose verdict is that it ran has run.
 fn served(call: &Call, runs: u64) -> Option<(&'static str, String)> {
     let is_promise = matches!(call.told(), Told::Ran(_));
     (is_promise && runs == 0).then(|| ("UNSERVED", "told that it ran".to_owned()))
 }
 
-/// BILLED: nobody is told a bill over what the request costs.
+/// BILLED: no caller is told a bill above the cost of its request.
 fn billed(call: &Call) -> Option<(&'static str, String)> {
     let (told, cost) = (call.told(), call.wish.cost());
     let is_over = matches!(told, Told::Ran(billed) if billed > cost);
     is_over.then(|| ("BILLED", format!("{told:?} for {cost}")))
 }
 
-/// MIXED and ORDER: an answer is its request's own and whole, or shows that it is not.
+/// MIXED and ORDER: a response belongs to its request, and is complete or visibly cut off.
 fn own_answer(call: &Call) -> Option<(&'static str, String)> {
     if call.progress.status()? != 200 {
         return None;
@@ -245,7 +245,7 @@
         }
         next += 1;
     }
-    // Without its last event a stream shows that it is not whole, as long as its connection broke off.
+    // A stream without its last event is visibly incomplete only if its connection was cut off.
     let is_ended = call.progress.end == End::Whole;
     is_ended.then(|| {
         (
@@ -255,7 +255,7 @@
     })
 }
 
-/// What tries ended in, for a run's summary.
+/// Counts attempts by their outcome, for a run's summary.
 pub fn tally(calls: &[Call]) -> BTreeMap<String, u32> {
     let mut tally = BTreeMap::new();
     for call in calls {
--- a/tests/soak/router/run.rs
+++ b/tests/soak/router/run.rs
@@ -1,4 +1,5 @@
-//! One run of routers: an area by the plan, its callers, its steps in their time, and then the promises.
+//! Runs a plan against routers: starts the area and its callers, applies the steps at their times, and then checks the
+//! promises.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -28,29 +29,29 @@
 /// Addresses of each router, for callers and for other routers.
 pub type Addresses = Vec<(SocketAddr, SocketAddr)>;
 
-/// Prepaid tokens that no run uses up, whatever is stranded with dead routers.
+/// Prepaid tokens that never run out within a run, whatever grants remain with dead routers.
 const PLENTY: u64 = 100_000_000;
-/// Interval of looks at the processes.
+/// Interval between checks of the processes.
 const LOOK: Duration = Duration::from_millis(5);
-/// Longest that a process may take to end after SIGTERM: many times what the longest request takes, and as
-/// long as a router waits for a log that is out.
+/// Longest time a process may take to exit after SIGTERM: many times what the longest request takes, and as long as a
+/// router waits for a log that is down.
 const END_MAX: Duration = Duration::from_secs(60);
-/// How long a process that comes back counts as disturbed: it reads the log and finds its peers.
+/// How long a process counts as disturbed after it is back: it reads the log and finds its peers.
 const RETURN: Duration = Duration::from_secs(1);
-/// Returns of an operator that is refused: others are asked then.
+/// Attempts of an operator to have a change confirmed, each at the next router.
 const CONFIRMS: usize = 4;
 
-/// What a step has in hand with a router.
+/// What a step is doing to a router.
 #[derive(Clone, Debug)]
 enum Hand {
     Free,
-    /// SIGTERM was sent at this moment; the pause until it is started again.
+    /// SIGTERM was sent at this time; with the pause before its restart.
     Stopping(Instant, Duration),
-    /// It is gone until then; when it was killed, if it was.
+    /// It is down until this time; with the time at which it was killed, if it was.
     Gone(Instant, Option<Instant>),
-    /// It is frozen from one moment until another.
+    /// It is frozen from the first time until the second.
     Frozen(Instant, Instant),
-    /// It is on its way back; whether it is ready, and since when it was disturbed, if it was.
+    /// It is recovering; with whether it is ready, and since when it has been disturbed, if it was.
     Returning(Arc<AtomicBool>, Option<Instant>),
 }
 
@@ -60,7 +61,7 @@
     journal: Journal,
     area: Area,
     hands: Vec<Hand>,
-    /// Faults that are on, and when they are over.
+    /// Active faults: when each ends, the stand-in's address, the faults to set then, and a description.
     faults: Vec<(Instant, SocketAddr, Value, String)>,
     world: World,
     seen: Seen,
@@ -69,14 +70,14 @@
     operators: Vec<tokio::task::JoinHandle<()>>,
 }
 
-/// Addresses for the routers of a plan. They are tried, so no process may be started meanwhile.
+/// Finds free addresses for the routers of a plan by probing them; no process may be started meanwhile.
 pub fn addresses(plan: &Plan) -> Addresses {
     (0..plan.routers)
         .map(|_| (free_address(), free_address()))
         .collect()
 }
 
-/// Carries a plan out.
+/// Executes a plan.
 pub fn run(handle: &Handle, plan: Plan, addresses: Addresses, logs: &Path) -> Outcome {
     std::fs::create_dir_all(logs).unwrap();
     let mut run = Run::start(handle, plan, addresses, logs.to_owned());
@@ -107,8 +108,8 @@
 
 impl<'a> Run<'a> {
     fn start(handle: &'a Handle, plan: Plan, addresses: Addresses, logs: PathBuf) -> Self {
-        // A holder that is silent is closed within a run only where there are faults: without, a router that
-        // runs late on a loaded machine would be closed too.
+        // A silent router is closed within the run only if the plan has faults: in a planned run this would also close a
+        // router that is merely late on a loaded machine.
         let close = match plan.kind {
             Kind::Planned => "--close-after=10000",
             Kind::Faults => "--close-after=1000",
@@ -244,7 +245,7 @@
         self.area.routers[number].signal(name);
     }
 
-    /// A stand-in misbehaves for a while, unless it does already.
+    /// Sets faults of a stand-in for a while, unless it has some already.
     fn harm(&mut self, at: SocketAddr, faults: &Value, usual: Value, span: u64, what: String) {
         if self.faults.iter().any(|(_, other, ..)| *other == at) {
             return;
@@ -255,7 +256,7 @@
         self.faults.push((over, at, usual, what));
     }
 
-    /// Takes each router and each fault on that is due.
+    /// Advances the state of each router, and ends the faults that are over.
     fn look(&mut self) {
         let now = Instant::now();
         for number in 0..self.hands.len() {
@@ -312,7 +313,8 @@
         Hand::Gone(now + pause, Some(since))
     }
 
-    /// Tells when a router is ready, or after a long wait: whether it is whole is asked at the end.
+    /// Returns a flag that is set when a router is ready, or after a long wait: whether it has recovered is checked at the
+    /// end of the run.
     fn watch(&self, number: usize) -> Arc<AtomicBool> {
         let (ready, router) = (
             Arc::new(AtomicBool::new(false)),
@@ -333,7 +335,7 @@
         ready
     }
 
-    /// An operator's change, planned and confirmed at a router; others are asked where it refuses.
+    /// Makes an operator's change: plans and confirms it at a router, or at others if it refuses.
     fn change(&mut self, number: usize, change: Change) {
         let intent = self.intent(change);
         if change == Change::TopUp {
@@ -343,7 +345,7 @@
         let routers = self.world.routers.clone();
         let (journal, prepaid) = (self.journal.clone(), Arc::clone(&self.prepaid));
         if change == Change::TopUp {
-            // It may be in force from now on, whatever the operator is told.
+            // The change may take effect from now on, whatever the operator is told.
             *prepaid.lock().unwrap() += TOP_UP;
         }
         self.operators.push(self.handle.spawn(async move {
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -1,4 +1,5 @@
-//! One run: a deployment by the plan, its callers, its steps in their time, and then the promises.
+//! Runs a plan against gateways: starts the deployment and its callers, applies the steps at their times, and then
+//! checks the promises.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -24,51 +25,52 @@
 #[path = "faults.rs"]
 mod faults;
 
-/// The time to stop of each gateway, in milliseconds: several times the longest work.
+/// Grace period of a gateway's shutdown, in milliseconds: several times the longest request.
 const GRACE: &str = "8000";
-/// Time from a target's word that it drains until its entry goes.
+/// Time from a target's announcement that it drains until its entry is removed.
 const DRAINING: Duration = Duration::from_millis(1_500);
-/// Time from then on until another instance has its address, after the bound for requests to it.
+/// Time from then on until another instance takes its address. Together they exceed [`IN_FORCE_MAX`], the time in
+/// which the target may still get requests.
 const UNTIL_REPLACED: Duration = Duration::from_millis(2_000);
-/// Longest that a process may take to end, beyond its time to stop: many times what it needs.
+/// Longest time a process may take to exit beyond its grace period: many times what it needs.
 const END_MAX: Duration = Duration::from_secs(20);
-/// How long a process that comes back counts as disturbed: it reads the store and finds its peers.
+/// How long a process counts as disturbed after it is back: it reads the store and finds its peers.
 const RETURN: Duration = Duration::from_secs(1);
-/// Time from a target's crash until its entry goes: about three of its heartbeats.
+/// Time from a target's crash until its entry is removed: about three of its heartbeats.
 const UNTIL_FORGOTTEN: Duration = Duration::from_millis(900);
-/// Time from then on until there is a new instance.
+/// Time from then on until a new instance starts at its address.
 const UNTIL_BACK: Duration = Duration::from_millis(700);
-/// How the names of instances begin whose service no route names.
+/// Name prefix of instances whose service no route names.
 pub const FOREIGN: &str = "x";
-/// Topics whose history the store may drop.
+/// Topics that a compaction step compacts.
 const TOPICS: [&str; 4] = [
     "keyed.op",
     "keyed.servers",
     "keyed.prepaid",
     "keyed.routers",
 ];
-/// Interval of looks at a process.
+/// Interval between checks of a process.
 const LOOK: Duration = Duration::from_millis(5);
-/// What runs when the load ends goes on for so long at most, in milliseconds: the longest stream.
+/// Longest time that requests go on after the end of the load: the longest stream.
 const QUIET: Duration = Duration::from_millis(1_500);
 
-/// What a run has come to.
+/// The result of a run.
 pub struct Outcome {
     pub seed: u64,
     pub broken: Vec<Broken>,
-    /// The timeline of the first promise that was broken.
+    /// The timeline around the first violation.
     pub timeline: String,
-    /// One line on what happened.
+    /// One line that sums up the run.
     pub summary: String,
 }
 
-/// A target, and what is in force about it.
+/// A target's stand-in and how gateways reach it.
 struct Target {
     service: &'static str,
     runner: Runner,
-    /// Between gateways and the target, where there are faults.
+    /// Sits between the gateways and the target in runs with faults.
     proxy: Option<Proxy>,
-    /// Where gateways reach it.
+    /// The address that gateways connect to.
     address: SocketAddr,
 }
 
@@ -86,7 +88,7 @@
     world: World,
 }
 
-/// Carries a plan out.
+/// Executes a plan.
 pub async fn run(plan: Plan, logs: PathBuf) -> Outcome {
     std::fs::create_dir_all(&logs).unwrap();
     let seed = plan.seed;
@@ -230,7 +232,7 @@
         }
     }
 
-    /// Stops a gateway and starts it again, unless it is the last one.
+    /// Stops a gateway and starts it again, unless no other gateway is free of steps.
     fn stop(&mut self, number: usize, pause: Duration) {
         let place = self.places[number].clone();
         let others = self.places.iter().filter(|other| !other.is_taken()).count();
@@ -284,7 +286,7 @@
             .note(format!("configuration {version}: {change:?}"));
     }
 
-    /// A target leaves, serves on, and another instance has its address later.
+    /// Takes a target out of service. It still answers requests until another instance takes its address.
     fn leave(&mut self, number: usize, notice: Notice) {
         if !self.take_target(number) {
             return;
@@ -348,7 +350,7 @@
     *place.is_taken.lock().unwrap() = false;
 }
 
-/// Waits until something holds; whether it did in time.
+/// Waits until a condition holds. Returns whether it did within the limit.
 async fn wait(limit: Duration, holds: impl Fn() -> bool) -> bool {
     let end = Instant::now() + limit;
     while !holds() {
@@ -362,5 +364,5 @@
 
 const _: () = assert!(
     DRAINING.as_millis() + UNTIL_REPLACED.as_millis() > IN_FORCE_MAX.as_millis(),
-    "a leaving target is there until the bound, so that it sees what comes too late"
+    "a leaving target runs past the bound, so that it records requests that come too late"
 );
--- a/tests/soak/said.rs
+++ b/tests/soak/said.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves, and whether gateways keep to it.
+//! Notices that targets send about themselves, and checks that gateways respect them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,28 +8,29 @@
 use crate::deployment::runner::Arrival;
 use crate::promise::{Broken, Seen};
 
-/// By then after it was first told, the gateways keep to it; for a loaded machine, a rest by twice the usual.
+/// Time after a notice was first received until the gateways have to respect it; generous for a loaded machine. The
+/// one of a rest is twice what is usual.
 const KNOWN_BY: Duration = Duration::from_secs(3);
 const REST_KNOWN_BY: Duration = Duration::from_secs(1);
-/// By then a gateway that was started again has heard it from the others.
+/// Time in which a restarted gateway learns of a notice from its peers.
 const STARTED_KNOWN_BY: Duration = Duration::from_secs(1);
-/// The span in which users count what a target with a limit gets.
+/// Window over which users count the requests to a target with a rate limit.
 const SPAN: Duration = Duration::from_secs(4);
-/// Requests of a gateway that may come within a rest that it was asked for.
+/// Requests that one gateway may still send within a rest that it was asked for.
 const RESTED_MAX: usize = 2;
 
-/// What a target says.
+/// What a target announces in its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Said {
-    /// That it leaves; its entry stays.
+    /// It is leaving; its entry stays.
     Leaving,
-    /// That it takes so many requests in ten seconds.
+    /// It accepts this many requests in ten seconds.
     Limit(u32),
-    /// To one request in so many, that it wants nothing for so many milliseconds.
+    /// It answers one request in this many by asking for no requests for this many milliseconds.
     Rest(u32, u64),
 }
 
-/// A target that said something for a while.
+/// The time in which a target sent a notice.
 #[derive(Clone, Debug)]
 pub struct Spoken {
     pub instance: String,
@@ -39,7 +40,7 @@
 }
 
 impl Spoken {
-    /// What came against its word.
+    /// Returns the first violation of the notice.
     pub fn broken(&self, seen: &Seen) -> Option<Broken> {
         let here = seen
             .arrivals
@@ -64,8 +65,8 @@
         })
     }
 
-    /// DRAIN: once one answer that says so has come to its caller, no later call comes here, but for those at a gateway
-    /// that has just been started again: it hears it from the others.
+    /// DRAIN: after a response with the notice has reached its caller, no later request runs here. Excepted are requests
+    /// at a gateway that has just restarted, since it learns of the notice from its peers.
     fn leaving(
         &self,
         seen: &Seen,
@@ -86,7 +87,7 @@
         self.show("DRAIN", late, format!("reached {:?} later", late.at - told))
     }
 
-    /// LIMIT: half as many again as it takes in any span, and five.
+    /// LIMIT: in any window the target gets at most one and a half times its limit plus five requests.
     fn limit(&self, here: &[&Arrival], per_second: f64) -> Option<Broken> {
         let allowed = (per_second * SPAN.as_secs_f64() * 1.5 + 5.0) as usize;
         let counted = here.iter().filter(|one| one.at >= self.from + KNOWN_BY);
@@ -107,7 +108,7 @@
         None
     }
 
-    /// BUDGET: a gateway that was asked for rest leaves the target alone, unless it was started again meanwhile: a new
+    /// BUDGET: a gateway that was asked for a rest sends the target no requests, unless it has restarted since: the new
     /// process has not been asked.
     fn rest(
         &self,
--- a/tests/soak/timeline.rs
+++ b/tests/soak/timeline.rs
@@ -1,5 +1,5 @@
-//! One account of a run for the request that broke a promise: what its caller and its targets saw, the
-//! lines that each process logged about it and about stops, starts and reloads, and each step, in order.
+//! The timeline of a run around the request that shows a violation, in order of time: what its caller and its targets
+//! saw, what each process logged about it and about stops, starts and reloads, and each step of the plan.
 
 use std::fmt::Write as _;
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 use crate::promise::Broken;
 
-/// Events that a timeline shows of each process, besides those of the request.
+/// Log events that a timeline shows for each process, besides those of the request.
 const EVENTS: [&str; 16] = [
     "started",
     "stopping",
@@ -28,16 +28,16 @@
     "invariant_violated",
 ];
 const DAY_MS: f64 = 86_400_000.0;
-/// Most lines of a printed timeline, so that a failure stays readable.
+/// Maximum number of printed lines, so that a failure stays readable.
 const LINES_MAX: usize = 400;
-/// How long before a request and after it steps and logs are shown, in milliseconds.
+/// How long before and after a request steps and log lines are shown, in milliseconds.
 const AROUND: f64 = 4_000.0;
 
-/// Steps as they were taken, and the clock that all times are told by.
+/// Records the steps as they happen. All times are shown relative to its start.
 #[derive(Clone)]
 pub struct Journal {
     began: Instant,
-    /// The time of day at which it began, in milliseconds.
+    /// The time of day at the start, in milliseconds.
     began_at: f64,
     steps: Arc<Mutex<Vec<(Instant, String)>>>,
 }
@@ -63,8 +63,8 @@
         at.saturating_duration_since(self.began).as_secs_f64() * 1e3
     }
 
-    /// The timeline around the request that shows the first broken promise; nothing where none was broken. `told` is
-    /// what a request's caller and its targets saw of it.
+    /// The timeline around the request that shows the first violation; empty if there is none. `told` returns what a
+    /// request's caller and its targets saw of it.
     pub fn around_first(
         &self,
         logs: &Path,
@@ -77,8 +77,8 @@
         })
     }
 
-    /// The timeline around a request, or of all steps where no request is named. `told` is what its caller and
-    /// its targets saw of it.
+    /// The timeline around a request, or of all steps if `id` is `None`. `told` is what its caller and its targets saw of
+    /// it.
     fn print(&self, logs: &Path, id: Option<&str>, told: Vec<(Instant, String)>) -> String {
         let first = told.iter().map(|(at, _)| self.ms(*at)).reduce(f64::min);
         let last = told.iter().map(|(at, _)| self.ms(*at)).reduce(f64::max);
@@ -104,7 +104,7 @@
         text
     }
 
-    /// Lines that the processes logged.
+    /// Lines of the processes' logs that belong into the timeline.
     fn logged(&self, logs: &Path, id: Option<&str>) -> Vec<(f64, String)> {
         let mut lines = Vec::new();
         for entry in std::fs::read_dir(logs).into_iter().flatten().flatten() {
@@ -127,7 +127,7 @@
         lines
     }
 
-    /// The time of a log line, from its field `ts=2000-01-01T12:30:00.5Z`. A run may go past midnight.
+    /// The time of a log line, from its field `ts=2000-01-01T12:30:00.5Z`. Handles a run that crosses midnight.
     fn logged_at(&self, field: &str) -> Option<f64> {
         let time = field.strip_prefix("ts=")?.split('T').nth(1)?;
         let mut parts = time.trim_end_matches('Z').split(':');
