--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -38,22 +38,22 @@
 use tokio::runtime::Runtime;
 
 /// Default number of seeds for gateways: all tests of this file take one to two minutes in CI.
-const SEEDS: u64 = 6;
+const GATEWAY_SEEDS: u64 = 6;
 /// Default number of seeds for routers: one batch for each kind.
 const ROUTER_SEEDS: u64 = 3;
 /// Seeds that run concurrently, which makes about a dozen processes.
-const AT_ONCE: usize = 3;
+const CONCURRENT_SEEDS: usize = 3;
 /// Upper limit of `LANEDECK_SOAK_PROCESSES`: a few dozen processes fit in a workstation's memory.
 const PROCESSES_MAX: usize = 36;
 /// Maximum number of violations printed per seed.
-const SHOWN: usize = 5;
+const VIOLATIONS_SHOWN_MAX: usize = 5;
 
 /// Serializes the soak tests, so that they don't load the machine at the same time.
-static ONE: Mutex<()> = Mutex::new(());
+static SOAK_LOCK: Mutex<()> = Mutex::new(());
 
-fn seeds(usual: u64) -> Vec<u64> {
+fn seeds(default_count: u64) -> Vec<u64> {
     let Ok(text) = std::env::var("LANEDECK_SOAK_SEEDS") else {
-        return (1..=usual).collect();
+        return (1..=default_count).collect();
     };
     let numbers: Vec<u64> = text
         .split(',')
@@ -75,8 +75,12 @@
 
 /// Runs the seeds in batches and fails if any of them broke a promise. `batch` runs the given seeds concurrently,
 /// each with its own log directory.
-fn soak(name: &str, usual: u64, batch: impl Fn(&Runtime, Vec<(u64, PathBuf)>) -> Vec<Outcome>) {
-    let _one = ONE
+fn soak(
+    name: &str,
+    default_count: u64,
+    batch: impl Fn(&Runtime, Vec<(u64, PathBuf)>) -> Vec<Outcome>,
+) {
+    let _guard = SOAK_LOCK
         .lock()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -86,17 +90,21 @@
         .unwrap();
     let logs = std::env::temp_dir().join(format!("lanedeck-{name}-{}", std::process::id()));
     let mut failed = Vec::new();
-    let at_once = if processes().is_some() { 1 } else { AT_ONCE };
-    for seeds in seeds(usual).chunks(at_once) {
-        let named = seeds
+    let concurrent = if processes().is_some() {
+        1
+    } else {
+        CONCURRENT_SEEDS
+    };
+    for seeds in seeds(default_count).chunks(concurrent) {
+        let with_logs = seeds
             .iter()
             .map(|seed| (*seed, logs.join(seed.to_string())));
-        for outcome in batch(&runtime, named.collect()) {
+        for outcome in batch(&runtime, with_logs.collect()) {
             println!("{name} seed {}: {}", outcome.seed, outcome.summary);
-            if outcome.broken.is_empty() {
+            if outcome.violations.is_empty() {
                 let _ = std::fs::remove_dir_all(logs.join(outcome.seed.to_string()));
             } else {
-                show(&outcome);
+                print_failure(&outcome);
                 failed.push(outcome.seed);
             }
         }
@@ -116,7 +124,7 @@
 }
 
 fn soak_plans(name: &str, plan: impl Fn(u64) -> Plan) {
-    soak(name, SEEDS, |runtime, seeds| {
+    soak(name, GATEWAY_SEEDS, |runtime, seeds| {
         let runs = seeds.into_iter().map(|(seed, logs)| run(plan(seed), logs));
         runtime.block_on(futures::future::join_all(runs))
     });
@@ -142,11 +150,15 @@
     });
 }
 
-fn show(outcome: &Outcome) {
-    println!("seed {}: {} broken", outcome.seed, outcome.broken.len());
-    for broken in outcome.broken.iter().take(SHOWN) {
-        let id = broken.id.as_deref().unwrap_or("-");
-        println!("  {} {id}: {}", broken.promise, broken.what);
+fn print_failure(outcome: &Outcome) {
+    println!(
+        "seed {}: {} violations",
+        outcome.seed,
+        outcome.violations.len()
+    );
+    for violation in outcome.violations.iter().take(VIOLATIONS_SHOWN_MAX) {
+        let id = violation.id.as_deref().unwrap_or("-");
+        println!("  {} {id}: {}", violation.promise, violation.what);
     }
     println!("{}", outcome.timeline);
 }
@@ -163,18 +175,18 @@
 
 /// Planned operations while targets announce that they are leaving, a rate limit, or a pause.
 #[test]
-fn soak_words() {
-    soak_plans("soak_words", |seed| {
-        Plan::new(seed, Kind::Planned, processes()).with_words()
+fn soak_notices() {
+    soak_plans("soak_notices", |seed| {
+        Plan::new(seed, Kind::Planned, processes()).with_notices()
     });
 }
 
 /// Planned operations and faults while the store is restored from copies.
 #[test]
-fn soak_returns() {
-    soak_plans("soak_returns", |seed| {
+fn soak_restores() {
+    soak_plans("soak_restores", |seed| {
         let kind = [Kind::Planned, Kind::Faults][usize::from(seed % 2 == 0)];
-        Plan::new(seed, kind, processes()).with_returns()
+        Plan::new(seed, kind, processes()).with_restores()
     });
 }
 
--- a/tests/soak/caller.rs
+++ b/tests/soak/caller.rs
@@ -12,31 +12,31 @@
 
 use crate::deployment::runner::Work;
 use crate::deployment::{Ask, HOST, try_ask};
-use crate::line::{End, Line, Pieces, Progress, Reading};
+use crate::line::{Connection, End, Pieces, Progress, Reading};
 use crate::plan::{self, Habit, Owner};
 
 /// Deadline that callers send with a request, in milliseconds.
-const DEADLINE: u64 = 5_000;
+const DEADLINE_MS: u64 = 5_000;
 /// How much longer than the deadline callers wait for a response: many times what a loaded machine adds, since a
 /// request without a response by then breaks a promise.
-const PATIENCE: Duration = Duration::from_secs(10);
+const RESPONSE_GRACE: Duration = Duration::from_secs(10);
 /// Timeout of address resolution of the platform's callers.
-const RESOLVE: Duration = Duration::from_secs(1);
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Factor by which callers with stale addresses exceed the lifetime of resolved addresses.
-const HELD: u32 = 3;
+const STALE_FACTOR: u32 = 3;
 /// Connections that a caller keeps.
-const LINES: usize = 3;
+const CONNECTIONS_MAX: usize = 3;
 /// Size of a plain response that exceeds the buffers between a gateway and a caller that reads slowly, in bytes. A
 /// gateway passes it on whole, so it has to fit in the gateway's limit of 8 MiB.
-const LONG_ANSWER: usize = 7 << 20;
+const LONG_RESPONSE: usize = 7 << 20;
 /// Longest time from the head of a response until a slow caller reads on, in milliseconds.
-const READ_PAUSE: u64 = 3_000;
+const READ_PAUSE_MAX_MS: u64 = 3_000;
 /// Pause after a key was refused, so that callers without a valid key leave room for others.
-const KEYLESS_PAUSE: Duration = Duration::from_millis(300);
+const REFUSED_KEY_PAUSE: Duration = Duration::from_millis(300);
 /// Maximum number of retries after a refusal or a failure.
-const RETURNS: u32 = 3;
+const RETRIES_MAX: u32 = 3;
 /// Longest wait before a retry: a third of the time that the platform's callers wait for a response.
-const RETURN_WAIT: Duration = Duration::from_millis(DEADLINE / 3);
+const RETRY_WAIT_MAX: Duration = Duration::from_millis(DEADLINE_MS / 3);
 
 /// Routes, which differ in whether a request may be repeated and in whether it is streamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -81,28 +81,28 @@
     pub ended: Instant,
     pub progress: Progress,
     /// Whether its caller abandoned it, as planned.
-    pub left: bool,
+    pub was_abandoned: bool,
 }
 
 impl Call {
     /// The timeline entries of what its caller saw.
-    pub fn told(&self) -> Vec<(Instant, String)> {
+    pub fn timeline(&self) -> Vec<(Instant, String)> {
         let (id, gateway) = (&self.id, self.gateway);
         let begun = format!("caller  {id} begins {:?} at {gateway}", self.route);
         self.progress
-            .told(id, self.begun, begun, self.ended, self.left)
+            .timeline(id, self.begun, begun, self.ended, self.was_abandoned)
     }
 }
 
 /// What all callers share: where they resolve addresses, and the calls that they record.
 #[derive(Clone, Default)]
-pub struct World {
+pub struct Shared {
     pub directories: Arc<Vec<SocketAddr>>,
     pub calls: Arc<Mutex<Vec<Call>>>,
 }
 
-/// Headers by which a gateway instructs a target. Some callers forge them.
-pub const ORDERS: [&str; 7] = [
+/// Headers by which a router controls a target; some callers forge them.
+pub const CONTROL_HEADERS: [&str; 7] = [
     "x-kv-hold",
     "x-pin-ms",
     "x-kv-backup",
@@ -112,69 +112,69 @@
     "x-expect-instance",
 ];
 /// Value of a forged header.
-pub const FORGED: &str = "1000";
+pub const FORGED_VALUE: &str = "1000";
 
 /// A request to send, the same in each attempt.
-struct Wish {
+struct Request {
     route: Route,
     work: Work,
     tokens: (u64, u64),
     body: String,
     pieces: Option<Pieces>,
-    leave: Option<Duration>,
-    /// The header of [`ORDERS`] that it forges.
-    forged: Option<&'static str>,
+    abandon_after: Option<Duration>,
+    /// The header of [`CONTROL_HEADERS`] that it forges.
+    forged_header: Option<&'static str>,
 }
 
 pub struct Caller {
     name: String,
     plan: plan::Caller,
     rng: StdRng,
-    world: World,
-    lines: Vec<Line>,
+    shared: Shared,
+    connections: Vec<Connection>,
     addresses: Vec<SocketAddr>,
-    held_until: Instant,
+    addresses_expire_at: Instant,
     count: u32,
     /// Whether its key was refused in its last call.
-    is_refused: bool,
+    is_key_refused: bool,
 }
 
 impl Caller {
-    pub fn new(name: String, plan: plan::Caller, world: World) -> Self {
+    pub fn new(name: String, plan: plan::Caller, shared: Shared) -> Self {
         Self {
             name,
             rng: StdRng::seed_from_u64(plan.seed),
             plan,
-            world,
-            lines: Vec::new(),
+            shared,
+            connections: Vec::new(),
             addresses: Vec::new(),
-            held_until: Instant::now(),
+            addresses_expire_at: Instant::now(),
             count: 0,
-            is_refused: false,
+            is_key_refused: false,
         }
     }
 
     /// Sends requests until the end of the load.
     pub async fn run(mut self, end: Instant) {
         while Instant::now() < end {
-            let pause = self.rng.random_range(0..self.plan.pause);
+            let pause = self.rng.random_range(0..self.plan.pause_max_ms);
             tokio::time::sleep(Duration::from_millis(pause)).await;
-            let wish = self.wish();
-            let mut returns = 0;
-            if self.is_refused {
-                tokio::time::sleep(KEYLESS_PAUSE).await;
+            let request = self.next_request();
+            let mut retries = 0;
+            if self.is_key_refused {
+                tokio::time::sleep(REFUSED_KEY_PAUSE).await;
             }
-            while let Some(wait) = self.call(&wish, returns > 0).await {
-                returns += 1;
-                if !self.plan.retries || returns > RETURNS || Instant::now() >= end {
+            while let Some(wait) = self.call(&request, retries > 0).await {
+                retries += 1;
+                if !self.plan.retries || retries > RETRIES_MAX || Instant::now() >= end {
                     break;
                 }
-                tokio::time::sleep(wait.min(RETURN_WAIT)).await;
+                tokio::time::sleep(wait.min(RETRY_WAIT_MAX)).await;
             }
         }
     }
 
-    fn wish(&mut self) -> Wish {
+    fn next_request(&mut self) -> Request {
         let rng = &mut self.rng;
         let route = match self.plan.habit {
             Habit::Slow => Route::ALL[rng.random_range(0..2)],
@@ -189,7 +189,7 @@
         let work = Work {
             wait,
             filler: match self.plan.habit {
-                Habit::Slow => LONG_ANSWER,
+                Habit::Slow => LONG_RESPONSE,
                 _ if rng.random_bool(0.1) => 300_000,
                 _ => 20,
             },
@@ -205,82 +205,84 @@
             size: rng.random_range(3_000..20_000),
             pause: Duration::from_millis(rng.random_range(0..40)),
         });
-        let leaves = rng.random_bool(self.plan.leaves);
-        Wish {
+        let abandons = rng.random_bool(self.plan.abandon_share);
+        Request {
             route,
             work,
             tokens: (rng.random_range(20..120), u64::from(work.events) + 20),
             body: "b".repeat(size),
             pieces,
-            leave: leaves.then(|| Duration::from_millis(rng.random_range(1..400))),
-            forged: rng
+            abandon_after: abandons.then(|| Duration::from_millis(rng.random_range(1..400))),
+            forged_header: rng
                 .random_bool(0.3)
-                .then(|| ORDERS[rng.random_range(0..ORDERS.len())]),
+                .then(|| CONTROL_HEADERS[rng.random_range(0..CONTROL_HEADERS.len())]),
         }
     }
 
-    fn ask(&self, id: &str, wish: &Wish) -> Ask {
-        let ask = if wish.route.is_stream() {
-            Ask::talk(id, wish.route.path(), wish.tokens.0, wish.tokens.1)
+    fn ask(&self, id: &str, request: &Request) -> Ask {
+        let ask = if request.route.is_stream() {
+            Ask::talk(id, request.route.path(), request.tokens.0, request.tokens.1)
         } else {
-            Ask::new(id, wish.route.path())
+            Ask::new(id, request.route.path())
         };
-        let ask = match wish.forged {
-            Some(name) => ask.with(name, FORGED),
+        let ask = match request.forged_header {
+            Some(name) => ask.with(name, FORGED_VALUE),
             None => ask,
         };
-        ask.post(&wish.body)
+        ask.post(&request.body)
             .with("host", HOST)
-            .with("x-deadline-ms", &DEADLINE.to_string())
+            .with("x-deadline-ms", &DEADLINE_MS.to_string())
             .with(
                 "authorization",
                 &format!("Bearer {}", self.plan.owner.key()),
             )
-            .with(Work::HEADER, &wish.work.text())
+            .with(Work::HEADER, &request.work.text())
     }
 
     /// Makes one attempt. Returns the wait before the next one, if it is to be retried.
-    async fn call(&mut self, wish: &Wish, returns: bool) -> Option<Duration> {
+    async fn call(&mut self, request: &Request, is_retry: bool) -> Option<Duration> {
         self.count += 1;
         let id = format!("{}-{}", self.name, self.count);
-        let ask = self.ask(&id, wish);
-        let mut line = self.line(returns).await?;
+        let ask = self.ask(&id, request);
+        let mut connection = self.connection(is_retry).await?;
         let mut progress = Progress::default();
         let begun = Instant::now();
-        let patience = Duration::from_millis(DEADLINE) + PATIENCE;
-        let limit = wish.leave.unwrap_or(patience);
-        let asked = line.ask(&ask, wish.pieces.as_ref(), &mut progress);
+        let patience = Duration::from_millis(DEADLINE_MS) + RESPONSE_GRACE;
+        let limit = request.abandon_after.unwrap_or(patience);
+        let asked = connection.send(&ask, request.pieces.as_ref(), &mut progress);
         let in_time = timeout(limit, asked).await.is_ok();
         let call = Call {
             id,
-            route: wish.route,
+            route: request.route,
             owner: self.plan.owner,
-            work: wish.work,
+            work: request.work,
             ask,
-            gateway: line.address,
+            gateway: connection.address,
             begun,
             ended: Instant::now(),
             progress,
-            left: !in_time && wish.leave.is_some(),
+            was_abandoned: !in_time && request.abandon_after.is_some(),
         };
-        let wait = wait(&call);
-        self.is_refused = call.progress.status() == Some(401);
-        if self.plan.habit == Habit::Kept && call.progress.end == End::Whole && line.is_open() {
-            self.lines.push(line);
+        let wait = retry_wait(&call);
+        self.is_key_refused = call.progress.status() == Some(401);
+        if self.plan.habit == Habit::Kept && call.progress.end == End::Whole && connection.is_open()
+        {
+            self.connections.push(connection);
         }
-        self.world.calls.lock().unwrap().push(call);
+        self.shared.calls.lock().unwrap().push(call);
         wait
     }
 
     /// Returns a kept connection, if there is one to reuse, or opens one to a resolved address.
-    async fn line(&mut self, returns: bool) -> Option<Line> {
-        self.lines.retain(Line::is_open);
-        let wants_kept = !returns && (self.lines.len() >= LINES || self.rng.random_bool(0.8));
-        if wants_kept && !self.lines.is_empty() {
-            let number = self.rng.random_range(0..self.lines.len());
-            return Some(self.lines.swap_remove(number));
+    async fn connection(&mut self, is_retry: bool) -> Option<Connection> {
+        self.connections.retain(Connection::is_open);
+        let wants_kept =
+            !is_retry && (self.connections.len() >= CONNECTIONS_MAX || self.rng.random_bool(0.8));
+        if wants_kept && !self.connections.is_empty() {
+            let number = self.rng.random_range(0..self.connections.len());
+            return Some(self.connections.swap_remove(number));
         }
-        if Instant::now() >= self.held_until || self.addresses.is_empty() {
+        if Instant::now() >= self.addresses_expire_at || self.addresses.is_empty() {
             self.resolve().await;
         }
         // Tries each address once, in random order.
@@ -290,13 +292,13 @@
             let address = left.swap_remove_back(number)?;
             let reading = match self.plan.habit {
                 Habit::Slow => {
-                    let pause = self.rng.random_range(0..READ_PAUSE);
+                    let pause = self.rng.random_range(0..READ_PAUSE_MAX_MS);
                     Reading::Slowly(Duration::from_millis(pause))
                 }
                 _ => Reading::AtOnce,
             };
-            if let Some(line) = Line::open(address, reading).await {
-                return Some(line);
+            if let Some(connection) = Connection::open(address, reading).await {
+                return Some(connection);
             }
         }
         self.addresses.clear();
@@ -306,9 +308,9 @@
     async fn resolve(&mut self) {
         let ask = Ask::get("/api/resolve?name=shop.example&region=r&zone=hall");
         for _ in 0..3 {
-            let number = self.rng.random_range(0..self.world.directories.len());
-            let directory = self.world.directories[number];
-            let Ok(Some(answer)) = timeout(RESOLVE, try_ask(directory, &ask)).await else {
+            let number = self.rng.random_range(0..self.shared.directories.len());
+            let directory = self.shared.directories[number];
+            let Ok(Some(answer)) = timeout(RESOLVE_TIMEOUT, try_ask(directory, &ask)).await else {
                 continue;
             };
             let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
@@ -317,30 +319,30 @@
                 .iter()
                 .filter_map(|address| address.as_str()?.parse().ok());
             let addresses: Vec<SocketAddr> = parsed.collect();
-            let life = Duration::from_secs_f64(body["ttlS"].as_f64().unwrap_or(0.0));
+            let lifetime = Duration::from_secs_f64(body["ttlS"].as_f64().unwrap_or(0.0));
             if addresses.is_empty() {
                 continue;
             }
-            let times = match self.plan.habit {
-                Habit::Stale | Habit::Slow => HELD,
+            let factor = match self.plan.habit {
+                Habit::Stale | Habit::Slow => STALE_FACTOR,
                 Habit::Kept | Habit::Fresh => 1,
             };
             self.addresses = addresses;
-            self.held_until = Instant::now() + life * times;
+            self.addresses_expire_at = Instant::now() + lifetime * factor;
             return;
         }
     }
 }
 
 /// The wait before a retry, if the call is to be retried.
-fn wait(call: &Call) -> Option<Duration> {
-    if call.left {
+fn retry_wait(call: &Call) -> Option<Duration> {
+    if call.was_abandoned {
         return None;
     }
-    let told = call.progress.header("retry-after");
-    let told = told.and_then(|text| text.parse::<f64>().ok());
+    let retry_after = call.progress.header("retry-after");
+    let retry_after = retry_after.and_then(|text| text.parse::<f64>().ok());
     match (call.progress.end, call.progress.status()) {
-        (End::Whole, Some(429 | 503)) => told.map(Duration::from_secs_f64),
+        (End::Whole, Some(429 | 503)) => retry_after.map(Duration::from_secs_f64),
         (End::Whole, Some(500..)) | (End::Closed | End::Cut, _) if call.route.may_repeat() => {
             Some(Duration::from_millis(20))
         }
--- a/tests/soak/ending.rs
+++ b/tests/soak/ending.rs
@@ -5,19 +5,19 @@
 
 use tokio::time::sleep;
 
-use super::{LOOK, Outcome, QUIET, Run};
+use super::{Outcome, POLL_INTERVAL, REMAINING_WORK_MAX, Run};
 use crate::caller::{Call, Route};
 use crate::deployment::runner::{Arrival, Work};
 use crate::deployment::{Ask, LONG, try_ask};
-use crate::place::Place;
+use crate::place::GatewaySlot;
 use crate::plan::{Kind, Owner};
-use crate::promise::{Broken, WHOLE, spent, tally};
+use crate::promise::{RECOVERY_ROUTES, Violation, spent, tally};
 
 impl Run {
     /// Requests that have ended without any part of a target's response at their callers: tokens that were lost on the
     /// way, or that arrived after the caller left, do not count as used.
     pub(super) fn unseen(&self) -> HashSet<String> {
-        let calls = self.world.calls.lock().unwrap();
+        let calls = self.shared.calls.lock().unwrap();
         // The body of a refusal holds no tokens of a target.
         let has_got =
             |call: &&Call| call.progress.status() == Some(200) && !call.progress.body.is_empty();
@@ -31,9 +31,9 @@
         let spent = spent(&self.arrivals(), Owner::Scarce, &self.unseen());
         let prepaid = self.config.prepaid;
         self.journal
-            .note(format!("{spent} of {prepaid} tokens are spent"));
+            .record(format!("{spent} of {prepaid} tokens are spent"));
         if spent > prepaid {
-            self.broken.lock().unwrap().push(Broken {
+            self.violations.lock().unwrap().push(Violation {
                 promise: "BUDGET",
                 id: None,
                 what: format!("{spent} tokens of {prepaid}"),
@@ -42,19 +42,24 @@
         prepaid.saturating_sub(spent)
     }
 
-    /// Spends the remaining tokens of [`Owner::Scarce`] at all gateways concurrently until each answers that none are left:
-    /// tokens that were granted twice show only then. Returns the gateways that gave no such answer within the bound, with
-    /// their last status. No rule sets this bound, so this is reported and is no violation.
-    pub(super) async fn use_up(&self) -> Vec<(String, Option<u16>)> {
-        let spend = |place: &Place| {
-            let (front, name) = (place.front, place.name.clone());
+    /// Spends the remaining tokens of [`Owner::Scarce`] at all gateways concurrently until each answers that none are
+    /// left: tokens that were granted twice show only then. Returns the gateways that gave no such answer within the
+    /// bound, with their last status. No rule sets this bound, so this is reported and is no violation.
+    pub(super) async fn spend_remaining(&self) -> Vec<(String, Option<u16>)> {
+        let spend = |slot: &GatewaySlot| {
+            let (front, name) = (slot.front, slot.name.clone());
             async move {
                 let end = Instant::now() + LONG;
                 for number in 0.. {
                     let id = format!("{PROBE}{name}spend{number}");
-                    let ask = Ask::talk(&id, Route::Talk.path(), BITE, BITE_OUT)
-                        .with("authorization", &format!("Bearer {}", Owner::Scarce.key()))
-                        .with(Work::HEADER, &BITE_WORK.text());
+                    let ask = Ask::talk(
+                        &id,
+                        Route::Talk.path(),
+                        SPEND_PROMPT_TOKENS,
+                        SPEND_OUTPUT_TOKENS,
+                    )
+                    .with("authorization", &format!("Bearer {}", Owner::Scarce.key()))
+                    .with(Work::HEADER, &SPEND_WORK.text());
                     let status = try_ask(front, &ask).await.map(|answer| answer.status);
                     if status == Some(402) {
                         return None;
@@ -62,59 +67,61 @@
                     if Instant::now() >= end {
                         return Some((name, status));
                     }
-                    sleep(LOOK).await;
+                    sleep(POLL_INTERVAL).await;
                 }
                 None
             }
         };
-        let ended = futures::future::join_all(self.places.iter().map(spend)).await;
+        let ended = futures::future::join_all(self.slots.iter().map(spend)).await;
         ended.into_iter().flatten().collect()
     }
 
-    pub(super) async fn end(mut self, logs: &std::path::Path) -> Outcome {
+    pub(super) async fn finish(mut self, logs: &std::path::Path) -> Outcome {
         while let Some(ended) = self.tasks.join_next().await {
             ended.unwrap();
         }
-        sleep(QUIET).await;
-        let whole = self.is_whole_again().await;
-        let unsettled = self.use_up().await;
+        sleep(REMAINING_WORK_MAX).await;
+        let unrecovered = self.check_recovery().await;
+        let unsettled = self.spend_remaining().await;
         let left = self.check_spend();
-        let mut seen = std::mem::take(&mut *self.seen.lock().unwrap());
-        seen.has_faults = self.plan.kind == Kind::Faults;
-        seen.calls = std::mem::take(&mut *self.world.calls.lock().unwrap());
+        let mut observations = std::mem::take(&mut *self.observations.lock().unwrap());
+        observations.has_faults = self.plan.kind == Kind::Faults;
+        observations.calls = std::mem::take(&mut *self.shared.calls.lock().unwrap());
         let arrivals = self.arrivals();
         let is_ours = |arrival: &Arrival| !arrival.header("x-attempt-id").starts_with(PROBE);
-        seen.arrivals = arrivals.into_iter().filter(is_ours).collect();
-        let mut broken = std::mem::take(&mut *self.broken.lock().unwrap());
-        broken.extend(whole);
-        broken.extend(seen.broken());
-        let timeline = self.journal.around_first(logs, &broken, |id| seen.told(id));
+        observations.arrivals = arrivals.into_iter().filter(is_ours).collect();
+        let mut violations = std::mem::take(&mut *self.violations.lock().unwrap());
+        violations.extend(unrecovered);
+        violations.extend(observations.violations());
+        let timeline = self
+            .journal
+            .around_first(logs, &violations, |id| observations.timeline(id));
         Outcome {
             seed: self.plan.seed,
-            broken,
+            violations,
             timeline,
             summary: format!(
                 "{} gateways, {} calls {:?}, {} departures, {left} of {} tokens left, unsettled {unsettled:?}",
                 self.plan.gateways,
-                seen.calls.len(),
-                tally(&seen.calls),
-                seen.departures.len(),
+                observations.calls.len(),
+                tally(&observations.calls),
+                observations.departures.len(),
                 self.config.prepaid
             ),
         }
     }
 
     /// RECOVER: after the last step each gateway serves each route within a bound, and none has exited on its own.
-    pub(super) async fn is_whole_again(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
-        for place in &self.places {
-            for route in WHOLE {
+    pub(super) async fn check_recovery(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for slot in &self.slots {
+            for route in RECOVERY_ROUTES {
                 let end = Instant::now() + LONG;
                 let mut last = None;
                 let mut number = 0;
                 while Instant::now() < end && last != Some(200) {
                     number += 1;
-                    let id = format!("{PROBE}{}{:?}{number}", place.name, route);
+                    let id = format!("{PROBE}{}{:?}{number}", slot.name, route);
                     let ask = if route.is_stream() {
                         Ask::talk(&id, route.path(), 20, 30)
                     } else {
@@ -125,27 +132,27 @@
                         ..Work::default()
                     };
                     let ask = ask.with(Work::HEADER, &work.text());
-                    last = try_ask(place.front, &ask).await.map(|answer| answer.status);
-                    sleep(LOOK).await;
+                    last = try_ask(slot.front, &ask).await.map(|answer| answer.status);
+                    sleep(POLL_INTERVAL).await;
                 }
                 if last != Some(200) {
-                    broken.push(Broken {
+                    violations.push(Violation {
                         promise: "RECOVER",
                         id: None,
-                        what: format!("{} answers {last:?} on {route:?}", place.name),
+                        what: format!("{} answers {last:?} on {route:?}", slot.name),
                     });
                 }
             }
         }
-        broken
+        violations
     }
 }
 
 /// Prompt tokens of a request that spends the remaining budget: large enough that few requests use it up.
-const BITE: u64 = 120;
+const SPEND_PROMPT_TOKENS: u64 = 120;
 /// Maximum number of tokens of its response.
-const BITE_OUT: u64 = 20;
-const BITE_WORK: Work = Work {
+const SPEND_OUTPUT_TOKENS: u64 = 20;
+const SPEND_WORK: Work = Work {
     wait: 0,
     filler: 0,
     events: 10,
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -6,76 +6,78 @@
 
 use tokio::time::sleep;
 
-use super::{FOREIGN, RETURN, Run, UNTIL_BACK, UNTIL_FORGOTTEN, start_again};
+use super::{
+    ENTRY_REMOVAL_DELAY, FOREIGN_PREFIX, RECOVERY_TIME, Run, SUCCESSOR_DELAY, start_again,
+};
 use crate::deployment::runner::{BACK_AFTER, Mode};
 use crate::deployment::store::Fault;
 use crate::deployment::{list_at, list_born};
-use crate::place::Place;
-use crate::plan::{BACK_MAX, Return, TARGETS};
-use crate::said::{Said, Spoken};
+use crate::place::GatewaySlot;
+use crate::plan::{REWRITE_MAX_MS, Rewrite, TARGETS};
+use crate::said::{NoticePeriod, TargetNotice};
 
 /// Time from when a lapsed target counts as gone until another instance takes its address. It goes well past the bound
 /// for requests to the old instance, which fits in the run since entries lapse early in the load.
-const UNTIL_LAPSED_REPLACED: Duration = Duration::from_secs(5);
+const LAPSED_REPLACEMENT_DELAY: Duration = Duration::from_secs(5);
 
 impl Run {
     /// Kills a gateway and restarts it.
     pub(super) fn kill(&mut self, number: usize, pause: Duration) {
-        let place = self.places[number].clone();
-        if place.is_taken() {
+        let slot = self.slots[number].clone();
+        if slot.is_busy() {
             return;
         }
-        *place.is_taken.lock().unwrap() = true;
+        *slot.is_busy.lock().unwrap() = true;
         let from = Instant::now();
-        self.journal.note(format!("SIGKILL {}", place.name));
-        place.gateway.lock().unwrap().kill();
-        let (journal, seen) = (self.journal.clone(), Arc::clone(&self.seen));
+        self.journal.record(format!("SIGKILL {}", slot.name));
+        slot.gateway.lock().unwrap().kill();
+        let (journal, observations) = (self.journal.clone(), Arc::clone(&self.observations));
         self.tasks.spawn(async move {
             sleep(pause).await;
-            start_again(&place, &journal, &seen).await;
-            let span = (place.front, from, Instant::now() + RETURN);
-            seen.lock().unwrap().disturbed.push(span);
+            start_again(&slot, &journal, &observations).await;
+            let span = (slot.front, from, Instant::now() + RECOVERY_TIME);
+            observations.lock().unwrap().disturbed.push(span);
         });
     }
 
     /// Freezes a gateway for a while.
     pub(super) fn freeze(&mut self, number: usize, span: Duration) {
-        let place = self.places[number].clone();
-        if place.is_taken() {
+        let slot = self.slots[number].clone();
+        if slot.is_busy() {
             return;
         }
-        *place.is_taken.lock().unwrap() = true;
+        *slot.is_busy.lock().unwrap() = true;
         let from = Instant::now();
-        self.journal.note(format!("SIGSTOP {}", place.name));
-        place.signal("STOP");
-        let (journal, seen) = (self.journal.clone(), Arc::clone(&self.seen));
+        self.journal.record(format!("SIGSTOP {}", slot.name));
+        slot.signal("STOP");
+        let (journal, observations) = (self.journal.clone(), Arc::clone(&self.observations));
         self.tasks.spawn(async move {
             sleep(span).await;
-            place.signal("CONT");
-            journal.note(format!("SIGCONT {}", place.name));
-            let mut seen = seen.lock().unwrap();
-            let to = Instant::now() + RETURN;
-            seen.disturbed.push((place.front, from, to));
-            seen.unstable.push((from, to));
-            *place.is_taken.lock().unwrap() = false;
+            slot.signal("CONT");
+            journal.record(format!("SIGCONT {}", slot.name));
+            let mut observations = observations.lock().unwrap();
+            let to = Instant::now() + RECOVERY_TIME;
+            observations.disturbed.push((slot.front, from, to));
+            observations.unstable.push((from, to));
+            *slot.is_busy.lock().unwrap() = false;
         });
     }
 
     /// Sets a fault of the store towards one gateway, or all of them, for a while.
-    pub(super) fn harm_store(&mut self, some: Option<usize>, fault: Fault, span: u64) {
-        let chosen = |place: &(usize, &Place)| some.is_none_or(|number| number == place.0);
-        let places = self.places.iter().enumerate().filter(chosen);
-        let addresses: Vec<SocketAddr> = places.map(|(_, place)| place.store).collect();
-        let (store, usual) = (self.store.clone(), Fault::Slow(self.plan.store));
-        let to = Instant::now() + Duration::from_millis(span) + RETURN;
+    pub(super) fn set_store_fault(&mut self, only: Option<usize>, fault: Fault, span: u64) {
+        let chosen = |slot: &(usize, &GatewaySlot)| only.is_none_or(|number| number == slot.0);
+        let slots = self.slots.iter().enumerate().filter(chosen);
+        let addresses: Vec<SocketAddr> = slots.map(|(_, slot)| slot.store).collect();
+        let (store, normal) = (self.store.clone(), Fault::Slow(self.plan.store_delay_ms));
+        let to = Instant::now() + Duration::from_millis(span) + RECOVERY_TIME;
         let unstable = (Instant::now(), to);
-        self.seen.lock().unwrap().unstable.push(unstable);
+        self.observations.lock().unwrap().unstable.push(unstable);
         self.during(
             span,
-            format!("store for {some:?}: {fault:?}"),
+            format!("store for {only:?}: {fault:?}"),
             move |is_on| {
                 for address in &addresses {
-                    store.set_fault(*address, if is_on { fault } else { usual });
+                    store.set_fault(*address, if is_on { fault } else { normal });
                 }
             },
         );
@@ -85,12 +87,12 @@
     pub(super) fn restore_store(&mut self, age: u64, away: u64, again: u64) {
         let copy = self.store.copy();
         let begun = Instant::now();
-        let (store, usual) = (self.store.clone(), Fault::Slow(self.plan.store));
-        let addresses: Vec<SocketAddr> = self.places.iter().map(|place| place.store).collect();
-        let (journal, seen) = (self.journal.clone(), Arc::clone(&self.seen));
-        let whole = Duration::from_millis(age + away + again) + RETURN;
-        let unstable = (begun, begun + whole);
-        seen.lock().unwrap().unstable.push(unstable);
+        let (store, normal) = (self.store.clone(), Fault::Slow(self.plan.store_delay_ms));
+        let addresses: Vec<SocketAddr> = self.slots.iter().map(|slot| slot.store).collect();
+        let (journal, observations) = (self.journal.clone(), Arc::clone(&self.observations));
+        let total = Duration::from_millis(age + away + again) + RECOVERY_TIME;
+        let unstable = (begun, begun + total);
+        observations.lock().unwrap().unstable.push(unstable);
         self.tasks.spawn(async move {
             let set = |fault| {
                 for address in &addresses {
@@ -98,55 +100,58 @@
                 }
             };
             sleep(Duration::from_millis(age)).await;
-            journal.note(format!("the store falls silent, {age} ms after a copy"));
+            journal.record(format!(
+                "the store stops answering, {age} ms after the copy"
+            ));
             set(Fault::Silent);
             sleep(Duration::from_millis(away)).await;
             let lost = store.restore(&copy);
-            set(usual);
-            journal.note("the store is back from the copy");
+            set(normal);
+            journal.record("the store is restored from the copy");
             sleep(Duration::from_millis(again)).await;
             store.write_again(&lost);
-            journal.note("others have written again");
+            journal.record("the lost writes are repeated");
         });
     }
 
     /// Turns something on, and off again after `span` milliseconds.
     pub(super) fn during(&mut self, span: u64, what: String, set: impl Fn(bool) + Send + 'static) {
-        self.journal.note(what.clone());
+        self.journal.record(what.clone());
         set(true);
         let journal = self.journal.clone();
         self.tasks.spawn(async move {
             sleep(Duration::from_millis(span)).await;
             set(false);
-            journal.note(format!("over: {what}"));
+            journal.record(format!("ended: {what}"));
         });
     }
 
-    /// Lets a target's entry lapse while the store is unavailable. The instance keeps running and writes the entry again
-    /// after the store is back, or never: then it counts as gone, and another instance takes its address later.
-    pub(super) fn lapse(&mut self, number: usize, back: Return, span: u64) {
-        if !self.take_target(number) {
+    /// Lets a target's entry lapse while the store is unavailable. The instance keeps running and writes the entry
+    /// again after the store is back, or never: then it counts as gone, and another instance takes its address later.
+    pub(super) fn lapse(&mut self, number: usize, rewrite: Rewrite, span: u64) {
+        if !self.reserve_target(number) {
             return;
         }
-        self.harm_store(None, Fault::Unavailable, span);
+        self.set_store_fault(None, Fault::Unavailable, span);
         let instance = self.targets[number].runner.instance();
-        self.journal.note(format!("{instance} lapses: {back:?}"));
+        self.journal
+            .record(format!("{instance} lapses: {rewrite:?}"));
         self.store.put("keyed.servers", &instance, None);
         let (store, targets) = (self.store.clone(), Arc::clone(&self.targets));
-        let (journal, leaving) = (self.journal.clone(), Arc::clone(&self.leaving));
-        let seen = Arc::clone(&self.seen);
+        let (journal, reserved) = (self.journal.clone(), Arc::clone(&self.reserved_targets));
+        let observations = Arc::clone(&self.observations);
         self.tasks.spawn(async move {
             let target = &targets[number];
             sleep(Duration::from_millis(span)).await;
-            let listed = if let Return::After(millis) = back {
+            let listed = if let Rewrite::After(millis) = rewrite {
                 sleep(Duration::from_millis(millis)).await;
                 instance
             } else {
-                sleep(Duration::from_millis(BACK_MAX)).await;
+                sleep(Duration::from_millis(REWRITE_MAX_MS)).await;
                 let departure = (instance.clone(), Instant::now());
-                seen.lock().unwrap().departures.push(departure);
-                sleep(UNTIL_LAPSED_REPLACED).await;
-                let next = next_life(&instance);
+                observations.lock().unwrap().departures.push(departure);
+                sleep(LAPSED_REPLACEMENT_DELAY).await;
+                let next = next_instance(&instance);
                 target.runner.replace(&next);
                 next
             };
@@ -159,109 +164,112 @@
                 "ready",
                 born,
             );
-            journal.note(format!("{listed} has its entry"));
-            leaving.lock().unwrap().retain(|other| *other != number);
+            journal.record(format!("{listed} is listed"));
+            reserved.lock().unwrap().retain(|other| *other != number);
         });
     }
 
     /// Reserves a target for a step, unless a target of the same service is reserved. Returns whether it did.
-    pub(super) fn take_target(&self, number: usize) -> bool {
-        let mut leaving = self.leaving.lock().unwrap();
+    pub(super) fn reserve_target(&self, number: usize) -> bool {
+        let mut reserved = self.reserved_targets.lock().unwrap();
         let is_same = |other: &usize| TARGETS[*other] == TARGETS[number];
-        let is_free = !leaving.iter().any(is_same);
+        let is_free = !reserved.iter().any(is_same);
         if is_free {
-            leaving.push(number);
+            reserved.push(number);
         }
         is_free
     }
 
     /// Crashes a target's process with its connections; it restarts under the same id.
     pub(super) fn restart(&mut self, number: usize) {
-        if !self.take_target(number) {
+        if !self.reserve_target(number) {
             return;
         }
         let instance = self.targets[number].runner.instance();
-        self.journal.note(format!("{instance} crashes"));
+        self.journal.record(format!("{instance} crashes"));
         self.targets[number].runner.crash();
-        let (journal, leaving) = (self.journal.clone(), Arc::clone(&self.leaving));
+        let (journal, reserved) = (self.journal.clone(), Arc::clone(&self.reserved_targets));
         self.tasks.spawn(async move {
             sleep(2 * BACK_AFTER).await;
-            journal.note(format!("{instance} is back"));
-            leaving.lock().unwrap().retain(|other| *other != number);
+            journal.record(format!("{instance} is back"));
+            reserved.lock().unwrap().retain(|other| *other != number);
         });
     }
 
     /// Lets a target send a notice in its responses for a while. A target that announced that it leaves ends then, and
     /// another instance takes its address.
-    pub(super) fn say(&mut self, number: usize, said: Said, span: Duration) {
-        if !self.take_target(number) {
+    pub(super) fn send_notice(&mut self, number: usize, notice: TargetNotice, span: Duration) {
+        if !self.reserve_target(number) {
             return;
         }
         let target = &self.targets[number];
         let instance = target.runner.instance();
-        self.journal.note(format!("{instance} says {said:?}"));
-        match said {
-            Said::Leaving => target.runner.say(&[("server-leaving", "1")]),
-            Said::Limit(in_ten_seconds) => {
+        self.journal.record(format!("{instance} sends {notice:?}"));
+        match notice {
+            TargetNotice::Leaving => target.runner.say(&[("server-leaving", "1")]),
+            TargetNotice::Limit(in_ten_seconds) => {
                 let limit = (f64::from(in_ten_seconds) / 10.0).to_string();
                 target.runner.say(&[("server-limit", &limit)]);
             }
-            Said::Rest(one_in, millis) => target.runner.set(Mode::Rest(one_in, millis)),
+            TargetNotice::Rest(one_in, millis) => target.runner.set(Mode::Rest(one_in, millis)),
         }
         let from = Instant::now();
         let (store, targets) = (self.store.clone(), Arc::clone(&self.targets));
-        let (journal, leaving) = (self.journal.clone(), Arc::clone(&self.leaving));
-        let seen = Arc::clone(&self.seen);
+        let (journal, reserved) = (self.journal.clone(), Arc::clone(&self.reserved_targets));
+        let observations = Arc::clone(&self.observations);
         self.tasks.spawn(async move {
             sleep(span).await;
             let target = &targets[number];
             target.runner.say(&[]);
             target.runner.set(Mode::Well);
-            seen.lock().unwrap().spoken.push(Spoken {
+            observations.lock().unwrap().notices.push(NoticePeriod {
                 instance: instance.clone(),
-                said,
+                notice,
                 from,
                 until: Instant::now(),
             });
-            if said == Said::Leaving {
-                let next = next_life(&instance);
+            if notice == TargetNotice::Leaving {
+                let next = next_instance(&instance);
                 target.runner.replace(&next);
                 store.put("keyed.servers", &instance, None);
                 list_at(&store, target.service, &next, target.address, "ready");
-                journal.note(format!("{next} has its address"));
+                journal.record(format!("{next} has taken its address"));
             }
-            leaving.lock().unwrap().retain(|other| *other != number);
+            reserved.lock().unwrap().retain(|other| *other != number);
         });
     }
 
     /// Crashes a target. An instance of another service has its address until some time after its entry is removed, and
     /// then a new instance of its own service.
     pub(super) fn crash(&mut self, number: usize) {
-        if !self.take_target(number) {
+        if !self.reserve_target(number) {
             return;
         }
         let instance = self.targets[number].runner.instance();
-        self.journal.note(format!("{instance} vanishes"));
+        self.journal
+            .record(format!("{instance} crashes and loses its address"));
         let (store, targets) = (self.store.clone(), Arc::clone(&self.targets));
-        let (journal, leaving) = (self.journal.clone(), Arc::clone(&self.leaving));
+        let (journal, reserved) = (self.journal.clone(), Arc::clone(&self.reserved_targets));
         self.tasks.spawn(async move {
             let target = &targets[number];
-            let (place, life) = instance.split_once('-').unwrap();
-            target.runner.replace(&format!("{FOREIGN}{number}-{life}"));
-            sleep(UNTIL_FORGOTTEN).await;
+            let (prefix, generation) = instance.split_once('-').unwrap();
+            target
+                .runner
+                .replace(&format!("{FOREIGN_PREFIX}{number}-{generation}"));
+            sleep(ENTRY_REMOVAL_DELAY).await;
             store.put("keyed.servers", &instance, None);
-            sleep(UNTIL_BACK).await;
-            let next = format!("{place}-{}", life.parse::<u32>().unwrap() + 1);
+            sleep(SUCCESSOR_DELAY).await;
+            let next = format!("{prefix}-{}", generation.parse::<u32>().unwrap() + 1);
             target.runner.replace(&next);
             list_at(&store, target.service, &next, target.address, "ready");
-            journal.note(format!("{next} has its address"));
-            leaving.lock().unwrap().retain(|other| *other != number);
+            journal.record(format!("{next} has taken its address"));
+            reserved.lock().unwrap().retain(|other| *other != number);
         });
     }
 }
 
 /// The name of the instance that follows the given one.
-fn next_life(instance: &str) -> String {
-    let (place, life) = instance.split_once('-').unwrap();
-    format!("{place}-{}", life.parse::<u32>().unwrap() + 1)
+fn next_instance(instance: &str) -> String {
+    let (prefix, generation) = instance.split_once('-').unwrap();
+    format!("{prefix}-{}", generation.parse::<u32>().unwrap() + 1)
 }
--- a/tests/soak/line.rs
+++ b/tests/soak/line.rs
@@ -17,7 +17,7 @@
 use crate::deployment::server::Body;
 
 /// Connect timeout of the platform's callers.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How far a request and its response got.
 #[derive(Clone, Debug, Default)]
@@ -30,7 +30,7 @@
     pub end: End,
     /// Whether a connection without a response was closed and not reset. A close resets the connection if sent data was
     /// left unread.
-    pub in_order: bool,
+    pub was_closed_cleanly: bool,
 }
 
 /// How a request ended for its caller.
@@ -62,27 +62,27 @@
 
 impl Progress {
     /// The timeline entries of an attempt, as its caller saw it.
-    pub fn told(
+    pub fn timeline(
         &self,
         id: &str,
         begun: Instant,
-        begins: String,
+        begin_entry: String,
         ended: Instant,
-        left: bool,
+        was_abandoned: bool,
     ) -> Vec<(Instant, String)> {
-        let mut told = vec![(begun, begins)];
+        let mut timeline = vec![(begun, begin_entry)];
         if let Some(sent) = self.sent.get() {
-            told.push((*sent, format!("caller  {id} has sent all")));
+            timeline.push((*sent, format!("caller  {id} has sent the whole request")));
         }
-        let ends = format!(
+        let end_entry = format!(
             "caller  {id} ends: {:?}, status {:?}, {} bytes{}",
             self.end,
             self.status(),
             self.body.len(),
-            if left { ", left" } else { "" }
+            if was_abandoned { ", abandoned" } else { "" }
         );
-        told.push((ended, ends));
-        told
+        timeline.push((ended, end_entry));
+        timeline
     }
 }
 
@@ -104,24 +104,27 @@
 /// Receive buffer of a caller that reads slowly, in bytes: smaller than a long response.
 const SLOW_BUFFER: u32 = 16 << 10;
 
-pub struct Line {
+pub struct Connection {
     sender: SendRequest<Body>,
     pub address: SocketAddr,
     /// When the connection was established.
     pub opened: Instant,
     /// Requests that were sent on it.
-    pub asked: u32,
+    pub request_count: u32,
     reading: Reading,
 }
 
-impl Line {
+impl Connection {
     pub async fn open(address: SocketAddr, reading: Reading) -> Option<Self> {
         let socket = TcpSocket::new_v4().ok()?;
         if reading != Reading::AtOnce {
             socket.set_recv_buffer_size(SLOW_BUFFER).ok()?;
         }
         let connect = socket.connect(address);
-        let stream = tokio::time::timeout(CONNECT, connect).await.ok()?.ok()?;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connect)
+            .await
+            .ok()?
+            .ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         // Errors of the connection surface in the request that waits on it.
@@ -132,7 +135,7 @@
             sender,
             address,
             opened: Instant::now(),
-            asked: 0,
+            request_count: 0,
             reading,
         })
     }
@@ -142,8 +145,8 @@
     }
 
     /// Sends a request and reads its response, as far as either gets.
-    pub async fn ask(&mut self, ask: &Ask, pieces: Option<&Pieces>, progress: &mut Progress) {
-        self.asked += 1;
+    pub async fn send(&mut self, ask: &Ask, pieces: Option<&Pieces>, progress: &mut Progress) {
+        self.request_count += 1;
         let body = body(&ask.body, pieces, &progress.sent);
         let mut request = http::Request::new(body);
         *request.method_mut() = ask.method.clone();
@@ -153,7 +156,7 @@
             Ok(response) => response,
             Err(mut error) => {
                 let was_not_sent = error.take_message().is_some();
-                progress.in_order = error.error().is_incomplete_message();
+                progress.was_closed_cleanly = error.error().is_incomplete_message();
                 progress.end = if was_not_sent {
                     End::Unsent
                 } else {
--- a/tests/soak/operator.rs
+++ b/tests/soak/operator.rs
@@ -3,13 +3,13 @@
 use serde_json::{Value, json};
 
 use crate::deployment::config;
-use crate::plan::{Owner, SCARCE};
+use crate::plan::{Owner, SCARCE_PREPAID};
 
 /// Prepaid tokens of customers that never run out within a run.
-const PLENTY: u64 = 100_000_000;
+const AMPLE_TOKENS: u64 = 100_000_000;
 /// Maximum number of targets that a request is sent to. It is above one also for requests that may run only once, since
 /// a target's refusal allows another attempt.
-const ATTEMPTS: u32 = 3;
+const ATTEMPTS_MAX: u32 = 3;
 
 /// The parts of the configuration that steps change.
 pub struct Config {
@@ -25,17 +25,17 @@
         Self {
             version: 1,
             weights: (2, 1),
-            prepaid: SCARCE,
+            prepaid: SCARCE_PREPAID,
             timeout: 4_000,
             has_key: true,
         }
     }
 
     pub fn value(&self) -> Value {
-        let mut value = config(self.version, PLENTY);
+        let mut value = config(self.version, AMPLE_TOKENS);
         for route in value["routes"].as_array_mut().unwrap() {
             route["timeoutMs"] = json!(self.timeout);
-            route["maxAttempts"] = json!(ATTEMPTS);
+            route["maxAttempts"] = json!(ATTEMPTS_MAX);
             if route["service"] == "app" {
                 route["backends"] = json!([
                     { "service": "app", "weight": self.weights.0 },
@@ -50,9 +50,9 @@
         let kept = [Owner::Revoked.key()];
         let keys = if self.has_key { &kept[..] } else { &[] };
         value["tenants"] = json!([
-            tenant(Owner::Rich, PLENTY, &[Owner::Rich.key()]),
+            tenant(Owner::Rich, AMPLE_TOKENS, &[Owner::Rich.key()]),
             tenant(Owner::Scarce, self.prepaid, &[Owner::Scarce.key()]),
-            tenant(Owner::Revoked, PLENTY, keys),
+            tenant(Owner::Revoked, AMPLE_TOKENS, keys),
         ]);
         value
     }
--- a/tests/soak/place.rs
+++ b/tests/soak/place.rs
@@ -8,29 +8,29 @@
 
 /// A gateway, and whether a step is in progress on it.
 #[derive(Clone)]
-pub struct Place {
+pub struct GatewaySlot {
     pub gateway: Arc<Mutex<Gateway>>,
-    pub is_taken: Arc<Mutex<bool>>,
+    pub is_busy: Arc<Mutex<bool>>,
     pub name: String,
     pub front: SocketAddr,
     pub ready: SocketAddr,
     pub store: SocketAddr,
     pub log: PathBuf,
     /// Length of its log, in bytes, when the current process was started.
-    pub earlier: Arc<Mutex<usize>>,
+    pub log_start: Arc<Mutex<usize>>,
 }
 
-impl Place {
+impl GatewaySlot {
     pub fn new(gateway: Gateway, logs: &std::path::Path) -> Self {
         Self {
             log: logs.join(format!("{}.log", gateway.name)),
-            earlier: Arc::default(),
+            log_start: Arc::default(),
             name: gateway.name.clone(),
             front: gateway.front,
             ready: gateway.ready,
             store: gateway.store,
             gateway: Arc::new(Mutex::new(gateway)),
-            is_taken: Arc::default(),
+            is_busy: Arc::default(),
         }
     }
 
@@ -38,21 +38,23 @@
         self.gateway.lock().unwrap().has_ended()
     }
 
-    pub fn is_taken(&self) -> bool {
-        *self.is_taken.lock().unwrap()
+    pub fn is_busy(&self) -> bool {
+        *self.is_busy.lock().unwrap()
     }
 
     /// Whether the current process has logged that it started. Before it installs its handlers, SIGHUP kills it, as it
     /// kills any process by default.
-    pub fn has_begun(&self) -> bool {
+    pub fn has_started(&self) -> bool {
         let log = std::fs::read(&self.log).unwrap_or_default();
-        let own = log.get(*self.earlier.lock().unwrap()..).unwrap_or_default();
+        let own = log
+            .get(*self.log_start.lock().unwrap()..)
+            .unwrap_or_default();
         String::from_utf8_lossy(own).contains("event=started")
     }
 
     pub fn start_again(&self) {
         let log = std::fs::metadata(&self.log);
-        *self.earlier.lock().unwrap() = log.map_or(0, |log| log.len() as usize);
+        *self.log_start.lock().unwrap() = log.map_or(0, |log| log.len() as usize);
         self.gateway.lock().unwrap().start_again();
     }
 
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -3,33 +3,33 @@
 
 use crate::deployment::runner::Mode;
 use crate::deployment::store::Fault;
-use crate::proxy::Harm;
-use crate::said::Said;
+use crate::proxy::LinkFault;
+use crate::said::TargetNotice;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
 /// Duration of the load, in milliseconds: long enough that each gateway is stopped once or twice.
-const LOAD: u64 = 7_000;
+const LOAD_MS: u64 = 7_000;
 /// Time before the first step, in milliseconds: callers have open connections by then.
-const FIRST: u64 = 500;
+const FIRST_STEP_MS: u64 = 500;
 /// Longest time between steps, in milliseconds: shorter than a stop takes, so that steps overlap.
-const GAP: u64 = 500;
+const STEP_GAP_MAX_MS: u64 = 500;
 /// Prepaid tokens of [`Owner::Scarce`] at the start, and those that a top-up adds.
-pub const SCARCE: u64 = 1_500;
-pub const TOP_UP: u64 = 800;
+pub const SCARCE_PREPAID: u64 = 1_500;
+pub const TOP_UP_TOKENS: u64 = 800;
 
 /// Every third seed with faults lets entries lapse, and then has no other store fault and no freeze: time bounds are
 /// suspended during those, so with them the bounds would never be checked.
-const LAPSING: u64 = 3;
+const LAPSE_SEEDS: u64 = 3;
 /// Entries that lapse in such a run.
 const LAPSES: usize = 2;
 /// Crashes of targets that restart under the same id, in each seed with faults that follows one with lapses.
 const RESTARTS: usize = 4;
 /// Latest time at which they lapse, in milliseconds: early enough that callers still send when the bound has passed.
-const LAPSE_LAST: u64 = 1_300;
+const LAPSE_LATEST_MS: u64 = 1_300;
 /// Longest time until a running target writes its entry again after the store is back, in milliseconds: targets do so
 /// within about two seconds.
-pub const BACK_MAX: u64 = 2_000;
+pub const REWRITE_MAX_MS: u64 = 2_000;
 
 /// How a caller uses connections and resolved addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -79,11 +79,11 @@
     pub habit: Habit,
     pub owner: Owner,
     /// Longest pause between two requests, in milliseconds.
-    pub pause: u64,
+    pub pause_max_ms: u64,
     /// Whether it retries a request that failed or was refused.
     pub retries: bool,
     /// Share of its requests that it abandons early, 0 to 1.
-    pub leaves: f64,
+    pub abandon_share: f64,
 }
 
 /// A change of configuration.
@@ -96,7 +96,7 @@
     /// A new timeout of all routes, in milliseconds.
     Timeout(u64),
     /// Revokes the key of [`Owner::Revoked`].
-    TakeKey,
+    RevokeKey,
 }
 
 /// An operation or fault. Gateways and targets are given by their index.
@@ -108,7 +108,7 @@
     Reload(usize),
     Change(Change),
     /// The target drains, or its entry is removed at once; another instance takes its address later.
-    Leave(usize, Notice),
+    Leave(usize, Departure),
     /// SIGKILL, and a restart under the same name this many milliseconds later.
     Kill(usize, u64),
     /// SIGSTOP, and SIGCONT this many milliseconds later.
@@ -121,22 +121,22 @@
     /// from the copy, and after the third its other writers repeat the writes that were lost.
     Restore(u64, u64, u64),
     /// The link to a target has a fault for this many milliseconds.
-    Link(usize, Harm, u64),
+    Link(usize, LinkFault, u64),
     /// A target runs in a faulty mode for this many milliseconds.
     Target(usize, Mode, u64),
     /// A target's entry lapses while the store is unavailable for this many milliseconds.
-    Lapse(usize, Return, u64),
+    Lapse(usize, Rewrite, u64),
     /// A target crashes, and an instance of a service that no route names takes its address at once.
     Crash(usize),
     /// A target's process crashes and restarts under the same id.
     Restart(usize),
     /// A target sends a notice about itself for this many milliseconds.
-    Say(usize, Said, u64),
+    Notice(usize, TargetNotice, u64),
 }
 
 /// How a target leaves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Notice {
+pub enum Departure {
     /// Its entry says that it drains, and is removed later.
     Draining,
     /// Its entry is removed at once.
@@ -145,7 +145,7 @@
 
 /// Whether a target whose entry has lapsed writes it again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Return {
+pub enum Rewrite {
     /// This many milliseconds after the store is back.
     After(u64),
     Never,
@@ -156,16 +156,16 @@
     pub seed: u64,
     pub gateways: usize,
     /// Lifetime of resolved addresses, in milliseconds.
-    pub keep: u64,
+    pub address_ttl_ms: u64,
     /// Latency of a store call without a fault, in milliseconds.
-    pub store: u64,
+    pub store_delay_ms: u64,
     pub callers: Vec<Caller>,
     /// Steps, each with its time in milliseconds.
     pub steps: Vec<(u64, Step)>,
-    pub load: u64,
+    pub load_ms: u64,
     pub kind: Kind,
     /// Maximum age of a restored copy that gateways are configured with, in milliseconds.
-    pub copy_age: u64,
+    pub copy_age_max_ms: u64,
 }
 
 /// Which steps a run has.
@@ -190,17 +190,17 @@
         let mut plan = Self {
             seed,
             gateways,
-            keep: rng.random_range(200..=800),
-            store: rng.random_range(2..=150),
+            address_ttl_ms: rng.random_range(200..=800),
+            store_delay_ms: rng.random_range(2..=150),
             callers,
             steps: Vec::new(),
-            load: LOAD,
+            load_ms: LOAD_MS,
             kind,
-            copy_age: 0,
+            copy_age_max_ms: 0,
         };
-        let mut at = FIRST;
-        while at < LOAD {
-            let is_fault = kind == Kind::Faults && rng.random_bool(FAULTS);
+        let mut at = FIRST_STEP_MS;
+        while at < LOAD_MS {
+            let is_fault = kind == Kind::Faults && rng.random_bool(FAULT_SHARE);
             let step = if is_fault {
                 fault(&mut rng, gateways)
             } else {
@@ -211,16 +211,16 @@
             at += if rng.random_bool(0.5) {
                 rng.random_range(0..30)
             } else {
-                rng.random_range(30..GAP)
+                rng.random_range(30..STEP_GAP_MAX_MS)
             };
         }
-        if kind == Kind::Faults && seed % LAPSING == 0 {
+        if kind == Kind::Faults && seed % LAPSE_SEEDS == 0 {
             let is_calm = |step: &Step| !matches!(step, Step::Store(..) | Step::Freeze(..));
             plan.steps.retain(|(_, step)| is_calm(step));
             plan.steps.extend(lapses(seed));
             plan.steps.sort_by_key(|(at, _)| *at);
         }
-        if kind == Kind::Faults && seed % LAPSING == 1 {
+        if kind == Kind::Faults && seed % LAPSE_SEEDS == 1 {
             plan.steps.extend(restarts(seed));
             plan.steps.sort_by_key(|(at, _)| *at);
         }
@@ -228,63 +228,63 @@
     }
 
     /// Adds restores of the store from copies.
-    pub fn with_returns(mut self) -> Self {
-        self.steps.extend(returns(self.seed));
+    pub fn with_restores(mut self) -> Self {
+        self.steps.extend(restores(self.seed));
         self.steps.sort_by_key(|(at, _)| *at);
-        self.copy_age = COPY_AGE;
+        self.copy_age_max_ms = COPY_AGE_MAX_MS;
         self
     }
 
     /// Adds targets that send notices about themselves.
-    pub fn with_words(mut self) -> Self {
-        self.steps.extend(words(self.seed));
+    pub fn with_notices(mut self) -> Self {
+        self.steps.extend(notices(self.seed));
         self.steps.sort_by_key(|(at, _)| *at);
         self
     }
 }
 
 /// Restores of the store in a run that has any, each in its own part of the load.
-const RETURNS: u64 = 2;
+const RESTORES: u64 = 2;
 /// Maximum age of a copy when the store stops answering, in milliseconds.
-pub const COPY_AGE: u64 = 1_500;
+pub const COPY_AGE_MAX_MS: u64 = 1_500;
 
-fn returns(seed: u64) -> Vec<(u64, Step)> {
+fn restores(seed: u64) -> Vec<(u64, Step)> {
     // A separate generator, as in `lapses`.
     let mut rng = StdRng::seed_from_u64(!seed);
-    let part = LOAD / RETURNS;
+    let part = LOAD_MS / RESTORES;
     let restore = |number| {
-        let age = rng.random_range(50..COPY_AGE);
+        let age = rng.random_range(50..COPY_AGE_MAX_MS);
         let away = rng.random_range(0..1_000);
         let again = rng.random_range(0..500);
         let at = number * part + rng.random_range(0..part / 2);
         (at, Step::Restore(age, away, again))
     };
-    (0..RETURNS).map(restore).collect()
+    (0..RESTORES).map(restore).collect()
 }
 
 /// Targets that send notices in a run that has any, each of a different service.
-const SPEAKERS: [usize; 3] = [0, 2, 4];
+const NOTICE_TARGETS: [usize; 3] = [0, 2, 4];
 /// How long they send them, in milliseconds: until shortly before the end of the load, so that the bounds pass within
 /// it.
-const SAID_FOR: u64 = 6_000;
+const NOTICE_MS: u64 = 6_000;
 
-fn words(seed: u64) -> Vec<(u64, Step)> {
+fn notices(seed: u64) -> Vec<(u64, Step)> {
     // A separate generator, as in `lapses`.
     let mut rng = StdRng::seed_from_u64(!seed);
-    let say = |target| {
-        let said = match rng.random_range(0..3) {
-            0 => Said::Leaving,
-            1 => Said::Limit(rng.random_range(5..200)),
-            _ => Said::Rest(rng.random_range(1..5), rng.random_range(1_200..3_000)),
+    let step = |target| {
+        let notice = match rng.random_range(0..3) {
+            0 => TargetNotice::Leaving,
+            1 => TargetNotice::Limit(rng.random_range(5..200)),
+            _ => TargetNotice::Rest(rng.random_range(1..5), rng.random_range(1_200..3_000)),
         };
-        let at = rng.random_range(0..FIRST);
-        (at, Step::Say(target, said, SAID_FOR))
+        let at = rng.random_range(0..FIRST_STEP_MS);
+        (at, Step::Notice(target, notice, NOTICE_MS))
     };
-    SPEAKERS.map(say).to_vec()
+    NOTICE_TARGETS.map(step).to_vec()
 }
 
 /// Share of faults among the steps of a run with faults, 0 to 1.
-const FAULTS: f64 = 0.6;
+const FAULT_SHARE: f64 = 0.6;
 
 fn fault(rng: &mut StdRng, gateways: usize) -> Step {
     let gateway = rng.random_range(0..gateways);
@@ -294,7 +294,7 @@
         0..5 => Step::Kill(gateway, rng.random_range(0..600)),
         5..7 => Step::Freeze(gateway, span),
         7..12 => {
-            let some = rng.random_bool(0.7).then_some(gateway);
+            let only = rng.random_bool(0.7).then_some(gateway);
             let fault = match rng.random_range(0..7) {
                 0 => Fault::Unavailable,
                 1 => Fault::NoGrants,
@@ -304,17 +304,17 @@
                 5 => Fault::LostAnswer,
                 _ => Fault::Late(rng.random_range(100..1_500)),
             };
-            Step::Store(some, fault, span)
+            Step::Store(only, fault, span)
         }
         12 => Step::Compact,
         13..16 => {
-            let harm = match rng.random_range(0..4) {
-                0 => Harm::Delay(rng.random_range(5..200)),
-                1 => Harm::Reset,
-                2 => Harm::CutBack,
-                _ => Harm::Silence,
+            let fault = match rng.random_range(0..4) {
+                0 => LinkFault::Delay(rng.random_range(5..200)),
+                1 => LinkFault::Reset,
+                2 => LinkFault::DropResponses,
+                _ => LinkFault::Stall,
             };
-            Step::Link(target, harm, span)
+            Step::Link(target, fault, span)
         }
         16..18 => {
             let mode = match rng.random_range(0..6) {
@@ -336,13 +336,13 @@
     let mut rng = StdRng::seed_from_u64(!seed);
     let lapse = |_| {
         let back = if rng.random_bool(0.3) {
-            Return::After(rng.random_range(0..BACK_MAX))
+            Rewrite::After(rng.random_range(0..REWRITE_MAX_MS))
         } else {
-            Return::Never
+            Rewrite::Never
         };
         let target = rng.random_range(0..TARGETS.len());
         let step = Step::Lapse(target, back, rng.random_range(300..700));
-        (rng.random_range(FIRST..LAPSE_LAST), step)
+        (rng.random_range(FIRST_STEP_MS..LAPSE_LATEST_MS), step)
     };
     (0..LAPSES).map(lapse).collect()
 }
@@ -352,7 +352,7 @@
     let mut rng = StdRng::seed_from_u64(!seed);
     let restart = |_| {
         let step = Step::Restart(rng.random_range(0..TARGETS.len()));
-        (rng.random_range(FIRST..LOAD), step)
+        (rng.random_range(FIRST_STEP_MS..LOAD_MS), step)
     };
     (0..RESTARTS).map(restart).collect()
 }
@@ -374,9 +374,9 @@
         seed: rng.random(),
         habit,
         owner,
-        pause: [20, 100, 400][rng.random_range(0..3)],
+        pause_max_ms: [20, 100, 400][rng.random_range(0..3)],
         retries: rng.random_bool(0.7),
-        leaves: [0.0, 0.0, 0.1][rng.random_range(0..3)],
+        abandon_share: [0.0, 0.0, 0.1][rng.random_range(0..3)],
     }
 }
 
@@ -391,8 +391,8 @@
         )),
         13..15 => Step::Change(Change::TopUp),
         15 => Step::Change(Change::Timeout(rng.random_range(3_000..5_000))),
-        16 => Step::Change(Change::TakeKey),
-        17..19 => Step::Leave(rng.random_range(0..TARGETS.len()), Notice::Draining),
-        _ => Step::Leave(rng.random_range(0..TARGETS.len()), Notice::Gone),
+        16 => Step::Change(Change::RevokeKey),
+        17..19 => Step::Leave(rng.random_range(0..TARGETS.len()), Departure::Draining),
+        _ => Step::Leave(rng.random_range(0..TARGETS.len()), Departure::Gone),
     }
 }
--- a/tests/soak/promise.rs
+++ b/tests/soak/promise.rs
@@ -5,12 +5,12 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use crate::caller::{Call, FORGED, ORDERS, Route};
+use crate::caller::{CONTROL_HEADERS, Call, FORGED_VALUE, Route};
 use crate::deployment::runner::{Arrival, Work};
 use crate::line::End;
 use crate::plan::Owner;
-use crate::run::FOREIGN;
-use crate::said::Spoken;
+use crate::run::FOREIGN_PREFIX;
+use crate::said::NoticePeriod;
 
 /// How long a request that was sent completely may stay unread before its connection is closed. A process reads what
 /// has arrived within milliseconds; a loaded machine may delay it many times longer.
@@ -21,7 +21,7 @@
 
 /// A broken promise.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     pub promise: &'static str,
     /// The request that shows it.
     pub id: Option<String>,
@@ -30,13 +30,13 @@
 
 /// What callers, targets and steps of a run have recorded.
 #[derive(Default)]
-pub struct Seen {
+pub struct Observations {
     pub calls: Vec<Call>,
     pub arrivals: Vec<Arrival>,
     /// Instances that have left, and when the store accepted it.
     pub departures: Vec<(String, Instant)>,
     /// Notices that targets sent about themselves.
-    pub spoken: Vec<Spoken>,
+    pub notices: Vec<NoticePeriod>,
     /// When the store accepted that the key of [`Owner::Revoked`] is revoked.
     pub revoked: Option<Instant>,
     /// Gateways that were restarted, and when.
@@ -67,15 +67,15 @@
     prompts.values().sum::<u64>() + handed_out
 }
 
-impl Seen {
+impl Observations {
     /// Returns all violations.
-    pub fn broken(&self) -> Vec<Broken> {
+    pub fn violations(&self) -> Vec<Violation> {
         let mut runs: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         for arrival in self.arrivals.iter().filter(|arrival| arrival.ran) {
             let id = arrival.header("x-attempt-id");
             runs.entry(id).or_default().push(arrival);
         }
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for call in &self.calls {
             let runs = runs.remove(call.id.as_str()).unwrap_or_default();
             let checks = [
@@ -88,32 +88,32 @@
                 self.allowed(call, &runs),
             ];
             let found = checks.into_iter().flatten();
-            broken.extend(found.map(|(promise, what)| Broken {
+            violations.extend(found.map(|(promise, what)| Violation {
                 promise,
                 id: Some(call.id.clone()),
                 what,
             }));
         }
         for id in runs.keys() {
-            broken.push(Broken {
+            violations.push(Violation {
                 promise: "UNASKED",
                 id: Some((*id).to_owned()),
-                what: "ran, and no caller has sent it".to_owned(),
+                what: "ran, but no caller has sent it".to_owned(),
             });
         }
-        broken.extend(self.left_alone());
-        let spoken = self.spoken.iter();
-        broken.extend(spoken.filter_map(|one| one.broken(self)));
-        broken
+        violations.extend(self.departed_unused());
+        let notices = self.notices.iter();
+        violations.extend(notices.filter_map(|period| period.first_violation(self)));
+        violations
     }
 
     /// What callers and targets saw of a request, for the timeline.
-    pub fn told(&self, id: Option<&str>) -> Vec<(Instant, String)> {
+    pub fn timeline(&self, id: Option<&str>) -> Vec<(Instant, String)> {
         let calls = self
             .calls
             .iter()
             .filter(|call| Some(call.id.as_str()) == id);
-        let mut told: Vec<_> = calls.flat_map(Call::told).collect();
+        let mut entries: Vec<_> = calls.flat_map(Call::timeline).collect();
         for arrival in &self.arrivals {
             if Some(arrival.header("x-attempt-id")) == id {
                 let got = format!(
@@ -122,10 +122,10 @@
                     arrival.ran,
                     arrival.header("x-tenant")
                 );
-                told.push((arrival.at, got));
+                entries.push((arrival.at, got));
             }
         }
-        told
+        entries
     }
 
     /// Whether gateways must have applied by `now` what the store accepted at `taken`.
@@ -147,7 +147,7 @@
 
     /// LOST: each request that was read completely ends in a complete response or a refusal.
     fn answered(&self, call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
-        if call.left || self.was_disturbed(call) {
+        if call.was_abandoned || self.was_disturbed(call) {
             return None;
         }
         let ran = runs.first().map(|run| run.instance.as_str());
@@ -161,7 +161,7 @@
             }
             (End::Open, _) => "neither answered nor refused".to_owned(),
             // With faults, a target may cut off a response of which a part was passed on already.
-            (End::Cut, _) if !self.has_faults => "its answer broke off".to_owned(),
+            (End::Cut, _) if !self.has_faults => "its response was cut off".to_owned(),
             _ => return None,
         };
         Some(("LOST", what))
@@ -172,34 +172,34 @@
         let revoked = self.revoked.filter(|_| call.owner == Owner::Revoked);
         let is_over = revoked.is_some_and(|at| self.is_in_force(at, call.begun));
         if is_over && !self.was_disturbed(call) && !runs.is_empty() {
-            return Some(("ROUTE", "ran with a key that was taken away".to_owned()));
+            return Some(("ROUTE", "ran with a revoked key".to_owned()));
         }
         let is_valid = revoked.is_none_or(|at| call.ended < at);
         match call.progress.status() {
             Some(status @ 400..=404) if status != 402 && is_valid => {
-                Some(("DENIED", format!("{status} for a proper request")))
+                Some(("DENIED", format!("{status} for a valid request")))
             }
             Some(402) if call.owner != Owner::Scarce => {
-                Some(("DENIED", "402 with plenty of tokens".to_owned()))
+                Some(("DENIED", "402 despite enough tokens".to_owned()))
             }
             _ => None,
         }
     }
 
     /// DRAIN: no request runs at a target that left longer ago than [`IN_FORCE_MAX`].
-    fn left_alone(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
+    fn departed_unused(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for (instance, left) in &self.departures {
             let late = self.arrivals.iter().filter(|arrival| {
                 arrival.instance == *instance && arrival.ran && self.is_in_force(*left, arrival.at)
             });
-            broken.extend(late.map(|arrival| Broken {
+            violations.extend(late.map(|arrival| Violation {
                 promise: "DRAIN",
                 id: Some(arrival.header("x-attempt-id").to_owned()),
                 what: format!("reached {instance} {:?} after it left", arrival.at - *left),
             }));
         }
-        broken
+        violations
     }
 }
 
@@ -213,7 +213,7 @@
 fn refused(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let status = call.progress.status()?;
     let is_promise = matches!(status, 408 | 421 | 429 | 503);
-    (is_promise && !runs.is_empty()).then(|| ("REFUSED", format!("{status}, and it has run")))
+    (is_promise && !runs.is_empty()).then(|| ("REFUSED", format!("{status}, but it has run")))
 }
 
 /// MIXED and ORDER: a response belongs to its request, and is complete or visibly cut off.
@@ -226,7 +226,7 @@
     if progress.header("x-server-seal") != Some(&seal)
         || progress.header("x-attempt-id") != Some(&call.id)
     {
-        return Some(("MIXED", "another's seal or id".to_owned()));
+        return Some(("MIXED", "seal or id of another request".to_owned()));
     }
     let body = String::from_utf8_lossy(&progress.body);
     if call.route.is_stream() {
@@ -237,7 +237,7 @@
             End::Whole => body == whole,
             _ => whole.starts_with(&*body),
         };
-        let what = || format!("events do not fit: {} of {} bytes", body.len(), whole.len());
+        let what = || format!("unexpected events: {} of {} bytes", body.len(), whole.len());
         return (!fits).then(|| ("ORDER", what()));
     }
     let fits = runs.iter().any(|run| {
@@ -247,7 +247,7 @@
             _ => whole.starts_with(&*body),
         }
     });
-    (!fits).then(|| ("MIXED", format!("another body: {} bytes", body.len())))
+    (!fits).then(|| ("MIXED", format!("unexpected body: {} bytes", body.len())))
 }
 
 /// UNASKED: a request runs as it was sent, for the customer that holds the key.
@@ -258,7 +258,9 @@
             || run.path != call.ask.path
             || run.body != call.ask.body
             || run.header("x-tenant") != call.owner.name()
-            || ORDERS.iter().any(|name| run.header(name) == FORGED)
+            || CONTROL_HEADERS
+                .iter()
+                .any(|name| run.header(name) == FORGED_VALUE)
             || !["x-model", "x-token-count", "x-prompt-prefix"]
                 .into_iter()
                 .all(same)
@@ -269,7 +271,9 @@
 
 /// ROUTE: no request runs at a service that its route does not name.
 fn own_service(runs: &[&Arrival]) -> Option<(&'static str, String)> {
-    let run = runs.iter().find(|run| run.instance.starts_with(FOREIGN))?;
+    let run = runs
+        .iter()
+        .find(|run| run.instance.starts_with(FOREIGN_PREFIX))?;
     Some((
         "ROUTE",
         format!("ran at {}, of another service", run.instance),
@@ -280,15 +284,19 @@
 pub fn tally(calls: &[Call]) -> std::collections::BTreeMap<String, u32> {
     let mut tally = std::collections::BTreeMap::new();
     for call in calls {
-        let word = match (call.left, call.progress.end, call.progress.status()) {
-            (true, ..) => "left".to_owned(),
+        let outcome = match (
+            call.was_abandoned,
+            call.progress.end,
+            call.progress.status(),
+        ) {
+            (true, ..) => "abandoned".to_owned(),
             (_, End::Whole, Some(status)) => status.to_string(),
             (_, end, _) => format!("{end:?}").to_lowercase(),
         };
-        *tally.entry(word).or_default() += 1;
+        *tally.entry(outcome).or_default() += 1;
     }
     tally
 }
 
 /// Routes on which a recovered deployment must answer.
-pub const WHOLE: [Route; 4] = Route::ALL;
+pub const RECOVERY_ROUTES: [Route; 4] = Route::ALL;
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -11,7 +11,7 @@
 
 /// What the proxy does with bytes that arrive while the fault is set.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Harm {
+pub enum LinkFault {
     #[default]
     None,
     /// Forwards them after this many milliseconds.
@@ -19,73 +19,80 @@
     /// Closes the connection.
     Reset,
     /// Forwards to the target, but drops its responses; the connection stalls and is then closed.
-    CutBack,
+    DropResponses,
     /// Drops bytes in both directions; the connection stalls and is then closed.
-    Silence,
+    Stall,
 }
 
 #[derive(Clone)]
 pub struct Proxy {
-    harm: Arc<Mutex<Harm>>,
+    fault: Arc<Mutex<LinkFault>>,
     pub address: SocketAddr,
 }
 
 /// The direction of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToTarget,
-    Back,
+    ToGateway,
 }
 
 /// Size of the forwarding buffer, in bytes.
-const CHUNK: usize = 16 << 10;
+const BUFFER_SIZE: usize = 16 << 10;
 /// How long a connection stalls before it is closed: longer than any request waits.
-const SILENCE: Duration = Duration::from_secs(8);
+const STALL: Duration = Duration::from_secs(8);
 
 impl Proxy {
     pub async fn start(target: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let proxy = Self {
-            harm: Arc::default(),
+            fault: Arc::default(),
             address: listener.local_addr().unwrap(),
         };
-        let harm = Arc::clone(&proxy.harm);
+        let fault = Arc::clone(&proxy.fault);
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(pass(near, target, Arc::clone(&harm)));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(forward(client, target, Arc::clone(&fault)));
             }
         });
         proxy
     }
 
-    pub fn set(&self, harm: Harm) {
-        *self.harm.lock().unwrap() = harm;
+    pub fn set(&self, fault: LinkFault) {
+        *self.fault.lock().unwrap() = fault;
     }
 }
 
-async fn pass(near: TcpStream, target: SocketAddr, harm: Arc<Mutex<Harm>>) {
-    let Ok(far) = TcpStream::connect(target).await else {
+async fn forward(client: TcpStream, target: SocketAddr, fault: Arc<Mutex<LinkFault>>) {
+    let Ok(upstream) = TcpStream::connect(target).await else {
         return;
     };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
+    let _ = (client.set_nodelay(true), upstream.set_nodelay(true));
+    let (client_read, client_write) = client.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
     // Both directions end with the first, so that a connection with a fault is not reused.
     tokio::select! {
-        () = copy(near_read, far_write, Way::ToTarget, &harm) => {}
-        () = copy(far_read, near_write, Way::Back, &harm) => {}
+        () = copy(client_read, upstream_write, Direction::ToTarget, &fault) => {}
+        () = copy(upstream_read, client_write, Direction::ToGateway, &fault) => {}
     }
 }
 
-async fn copy(mut from: OwnedReadHalf, mut to: OwnedWriteHalf, way: Way, harm: &Mutex<Harm>) {
-    let mut buffer = vec![0; CHUNK];
+async fn copy(
+    mut from: OwnedReadHalf,
+    mut to: OwnedWriteHalf,
+    direction: Direction,
+    fault: &Mutex<LinkFault>,
+) {
+    let mut buffer = vec![0; BUFFER_SIZE];
     while let Ok(count @ 1..) = from.read(&mut buffer).await {
-        let now = *harm.lock().unwrap();
-        match (now, way) {
-            (Harm::Reset, _) => return,
-            (Harm::Silence, _) | (Harm::CutBack, Way::Back) => return sleep(SILENCE).await,
-            (Harm::Delay(millis), _) => sleep(Duration::from_millis(millis)).await,
-            (Harm::None | Harm::CutBack, _) => {}
+        let now = *fault.lock().unwrap();
+        match (now, direction) {
+            (LinkFault::Reset, _) => return,
+            (LinkFault::Stall, _) | (LinkFault::DropResponses, Direction::ToGateway) => {
+                return sleep(STALL).await;
+            }
+            (LinkFault::Delay(millis), _) => sleep(Duration::from_millis(millis)).await,
+            (LinkFault::None | LinkFault::DropResponses, _) => {}
         }
         if to.write_all(&buffer[..count]).await.is_err() {
             return;
--- a/tests/soak/router/caller.rs
+++ b/tests/soak/router/caller.rs
@@ -14,27 +14,27 @@
 use super::plan::{self, Payer};
 use crate::common::area::key;
 use crate::deployment::{Ask, try_ask};
-use crate::line::{End, Line, Pieces, Progress, Reading};
+use crate::line::{Connection, End, Pieces, Progress, Reading};
 use crate::plan::{Habit, Kind};
 
 /// How long a caller waits for a response: over twice the longest wait of a class and the longest stream, since a
 /// request without a response by then breaks a promise.
-const PATIENCE: Duration = Duration::from_secs(20);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Timeout of a request for the entry list.
-const RESOLVE: Duration = Duration::from_secs(1);
+const RESOLVE_TIMEOUT: Duration = Duration::from_secs(1);
 /// Connections that a caller keeps.
-const LINES: usize = 3;
+const CONNECTIONS_MAX: usize = 3;
 /// Maximum number of retries with an id. With faults a caller retries until a lost router is closed, which takes its
 /// witness a second or more.
-const RETURNS: u32 = 12;
+const RETRIES_MAX: u32 = 12;
 /// Longest wait before a retry, in milliseconds: shorter than a refusal asks for, so that a run of a few seconds has
 /// many retries.
-const RETURN_WAIT: u64 = 400;
+const RETRY_WAIT_MAX_MS: u64 = 400;
 /// Share of refusals after which a caller with [`Habit::Stale`] resolves addresses again, 0 to 1.
-const HEEDS: f64 = 0.1;
+const RESOLVE_AGAIN_SHARE: f64 = 0.1;
 /// Longest time to spend the remaining tokens, and the pause between two calls.
-const USE_UP: Duration = Duration::from_secs(5);
-const USE_UP_PAUSE: Duration = Duration::from_millis(10);
+const SPEND_MAX: Duration = Duration::from_secs(5);
+const SPEND_PAUSE: Duration = Duration::from_millis(10);
 /// Price of a call of the service, in tokens.
 pub const CALL_PRICE: u64 = 50;
 
@@ -51,7 +51,7 @@
 
 /// A request, the same in each attempt.
 #[derive(Clone, Debug)]
-pub struct Wish {
+pub struct Request {
     pub id: String,
     pub payer: Payer,
     pub work: Work,
@@ -59,7 +59,7 @@
     pub text: String,
 }
 
-impl Wish {
+impl Request {
     /// Its cost in tokens at a price of one per token.
     pub fn cost(&self) -> u64 {
         match self.work {
@@ -111,32 +111,32 @@
 /// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Call {
-    pub wish: Arc<Wish>,
+    pub request: Arc<Request>,
     pub router: SocketAddr,
     pub begun: Instant,
     pub ended: Instant,
     pub progress: Progress,
     /// Whether its caller abandoned it, as planned.
-    pub left: bool,
+    pub was_abandoned: bool,
     /// Age of the connection at its start, if it is the first request on it.
-    pub fresh: Option<Duration>,
+    pub connection_age: Option<Duration>,
 }
 
 /// What the response of an attempt says about whether the request ran; `Ran` has the billed tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Told {
+pub enum Verdict {
     Ran(u64),
     NotRun,
     MayHaveRun,
-    Nothing,
+    Missing,
 }
 
 impl Call {
     /// The verdict of the response, from its headers or from the last event of a stream.
-    pub fn told(&self) -> Told {
+    pub fn verdict(&self) -> Verdict {
         let progress = &self.progress;
         if progress.end != End::Whole {
-            return Told::Nothing;
+            return Verdict::Missing;
         }
         let last = self.frames().pop().unwrap_or_default();
         let verdict = progress.header("lanedeck-verdict");
@@ -144,14 +144,14 @@
         let billed = progress.header("lanedeck-billed");
         let billed = billed.and_then(|text| text.parse().ok());
         match verdict {
-            Some("ran") => Told::Ran(
+            Some("ran") => Verdict::Ran(
                 billed
                     .or_else(|| last["lanedeck"]["billed"].as_u64())
                     .unwrap_or(0),
             ),
-            Some("not_run") => Told::NotRun,
-            Some("may_have_run") => Told::MayHaveRun,
-            _ => Told::Nothing,
+            Some("not_run") => Verdict::NotRun,
+            Some("may_have_run") => Verdict::MayHaveRun,
+            _ => Verdict::Missing,
         }
     }
 
@@ -165,41 +165,41 @@
     }
 
     /// The timeline entries of what its caller saw.
-    pub fn lines(&self) -> Vec<(Instant, String)> {
-        let (id, work, router) = (&self.wish.id, self.wish.work, self.router);
+    pub fn timeline(&self) -> Vec<(Instant, String)> {
+        let (id, work, router) = (&self.request.id, self.request.work, self.router);
         let begins = format!(
             "caller  {id} begins {work:?} repeatable={} fresh={} at {router}",
-            self.wish.repeatable,
-            self.fresh.is_some()
+            self.request.repeatable,
+            self.connection_age.is_some()
         );
-        let mut lines = self
-            .progress
-            .told(id, self.begun, begins, self.ended, self.left);
-        lines.push((
+        let mut connections =
+            self.progress
+                .timeline(id, self.begun, begins, self.ended, self.was_abandoned);
+        connections.push((
             self.ended,
-            format!("caller  {id} was told {:?}", self.told()),
+            format!("caller  {id} got the verdict {:?}", self.verdict()),
         ));
-        lines
+        connections
     }
 }
 
 /// What all callers share: the routers, and the requests and calls that they record.
 #[derive(Clone)]
-pub struct World {
+pub struct Shared {
     pub routers: Arc<Vec<SocketAddr>>,
     pub kind: Kind,
     /// All requests by id, each recorded before its first byte is sent.
-    pub asked: Arc<Mutex<HashMap<String, Arc<Wish>>>>,
+    pub requests: Arc<Mutex<HashMap<String, Arc<Request>>>>,
     pub calls: Arc<Mutex<Vec<Call>>>,
     number: Arc<AtomicU32>,
 }
 
-impl World {
+impl Shared {
     pub fn new(routers: Vec<SocketAddr>, kind: Kind) -> Self {
         Self {
             routers: Arc::new(routers),
             kind,
-            asked: Arc::default(),
+            requests: Arc::default(),
             calls: Arc::default(),
             number: Arc::default(),
         }
@@ -209,8 +209,8 @@
 pub struct Caller {
     plan: plan::Caller,
     rng: StdRng,
-    world: World,
-    lines: Vec<Line>,
+    shared: Shared,
+    connections: Vec<Connection>,
     /// Addresses of routers, each with the prefix of its request ids.
     entries: Vec<(SocketAddr, String)>,
     /// Whether its last call was refused because the budget is used up.
@@ -218,12 +218,12 @@
 }
 
 impl Caller {
-    pub fn new(plan: plan::Caller, world: World) -> Self {
+    pub fn new(plan: plan::Caller, shared: Shared) -> Self {
         Self {
             rng: StdRng::seed_from_u64(plan.seed),
             plan,
-            world,
-            lines: Vec::new(),
+            shared,
+            connections: Vec::new(),
             entries: Vec::new(),
             is_exhausted: false,
         }
@@ -232,58 +232,60 @@
     /// Sends requests until the end of the load.
     pub async fn run(mut self, end: Instant) {
         while Instant::now() < end {
-            let pause = self.rng.random_range(0..self.plan.pause);
+            let pause = self.rng.random_range(0..self.plan.pause_max_ms);
             sleep(Duration::from_millis(pause)).await;
             if self.entries.is_empty() || self.plan.habit == Habit::Fresh {
                 self.resolve().await;
             }
-            let Some(mut line) = self.line(None).await else {
+            let Some(mut connection) = self.connection(None).await else {
                 self.resolve().await;
                 continue;
             };
-            let Some(wish) = self.wish(line.address) else {
+            let Some(request) = self.next_request(connection.address) else {
                 continue;
             };
-            let mut returns = 0;
-            while self.call(&wish, line).await {
-                returns += 1;
-                if returns > RETURNS || Instant::now() >= end {
+            let mut retries = 0;
+            while self.call(&request, connection).await {
+                retries += 1;
+                if retries > RETRIES_MAX || Instant::now() >= end {
                     break;
                 }
-                let wait = self.rng.random_range(0..RETURN_WAIT);
+                let wait = self.rng.random_range(0..RETRY_WAIT_MAX_MS);
                 sleep(Duration::from_millis(wait)).await;
                 if self.entries.is_empty() {
                     self.resolve().await;
                 }
-                match self.line(Some(&wish)).await {
-                    Some(next) => line = next,
+                match self.connection(Some(&request)).await {
+                    Some(next) => connection = next,
                     None => break,
                 }
             }
         }
     }
 
-    /// Spends the remaining tokens at a router until it answers that none are left, or until [`USE_UP`] has passed: tokens
-    /// that were granted twice show only then.
-    pub async fn use_up(mut self, router: SocketAddr) {
-        let end = Instant::now() + USE_UP;
+    /// Spends the remaining tokens at a router until it answers that none are left, or until [`SPEND_MAX`] has passed:
+    /// tokens that were granted twice show only then.
+    pub async fn spend_remaining(mut self, router: SocketAddr) {
+        let end = Instant::now() + SPEND_MAX;
         self.resolve().await;
         while Instant::now() < end {
-            let wish = self.named(router, Work::Call, 1);
-            let (Some(wish), Some(line)) = (wish, Line::open(router, Reading::AtOnce).await) else {
+            let request = self.request_with_id(router, Work::Call, 1);
+            let (Some(request), Some(connection)) =
+                (request, Connection::open(router, Reading::AtOnce).await)
+            else {
                 self.resolve().await;
                 continue;
             };
-            self.call(&wish, line).await;
+            self.call(&request, connection).await;
             if self.is_exhausted {
                 return;
             }
-            sleep(USE_UP_PAUSE).await;
+            sleep(SPEND_PAUSE).await;
         }
     }
 
     /// Draws a request for the router at an address.
-    fn wish(&mut self, at: SocketAddr) -> Option<Arc<Wish>> {
+    fn next_request(&mut self, at: SocketAddr) -> Option<Arc<Request>> {
         let rng = &mut self.rng;
         let tokens = match rng.random_range(0..10) {
             0 => rng.random_range(60..200),
@@ -300,107 +302,110 @@
         } else {
             rng.random_range(1..100)
         };
-        self.named(at, work, size)
+        self.request_with_id(at, work, size)
     }
 
     /// Builds a request with an id of the router at an address.
-    fn named(&mut self, at: SocketAddr, work: Work, size: usize) -> Option<Arc<Wish>> {
+    fn request_with_id(&mut self, at: SocketAddr, work: Work, size: usize) -> Option<Arc<Request>> {
         let entry = self.entries.iter().find(|(address, _)| *address == at);
         let Some((_, prefix)) = entry else {
             // The connection was kept from an earlier entry list, which had this address.
             self.entries.clear();
             return None;
         };
-        let number = self.world.number.fetch_add(1, Ordering::Relaxed);
+        let number = self.shared.number.fetch_add(1, Ordering::Relaxed);
         let id = format!("{prefix}{number:08x}");
-        let wish = Arc::new(Wish {
+        let request = Arc::new(Request {
             payer: self.plan.payer,
             work,
             repeatable: self.rng.random_bool(0.4),
             text: format!("{id} {}", "b".repeat(size)),
             id,
         });
-        let mut asked = self.world.asked.lock().unwrap();
-        asked.insert(wish.id.clone(), Arc::clone(&wish));
-        Some(wish)
+        let mut requests = self.shared.requests.lock().unwrap();
+        requests.insert(request.id.clone(), Arc::clone(&request));
+        Some(request)
     }
 
     /// Makes one attempt. Returns whether it is to be retried.
-    async fn call(&mut self, wish: &Arc<Wish>, mut line: Line) -> bool {
-        let is_long = wish.text.len() > 1_000;
+    async fn call(&mut self, request: &Arc<Request>, mut connection: Connection) -> bool {
+        let is_long = request.text.len() > 1_000;
         let pieces = is_long.then(|| Pieces {
             size: self.rng.random_range(3_000..20_000),
             pause: Duration::from_millis(self.rng.random_range(0..40)),
         });
-        let leaves = self.rng.random_bool(self.plan.leaves);
-        let leave = leaves.then(|| Duration::from_millis(self.rng.random_range(1..400)));
+        let abandons = self.rng.random_bool(self.plan.abandon_share);
+        let abandon_after = abandons.then(|| Duration::from_millis(self.rng.random_range(1..400)));
         let mut progress = Progress::default();
         let begun = Instant::now();
-        let fresh = (line.asked == 0).then(|| line.opened.elapsed());
-        let ask = wish.ask();
-        let asked = line.ask(&ask, pieces.as_ref(), &mut progress);
-        let in_time = timeout(leave.unwrap_or(PATIENCE), asked).await.is_ok();
+        let connection_age = (connection.request_count == 0).then(|| connection.opened.elapsed());
+        let ask = request.ask();
+        let sent = connection.send(&ask, pieces.as_ref(), &mut progress);
+        let in_time = timeout(abandon_after.unwrap_or(RESPONSE_TIMEOUT), sent)
+            .await
+            .is_ok();
         let call = Call {
-            wish: Arc::clone(wish),
-            router: line.address,
+            request: Arc::clone(request),
+            router: connection.address,
             begun,
             ended: Instant::now(),
             progress,
-            left: !in_time && leave.is_some(),
-            fresh,
+            was_abandoned: !in_time && abandon_after.is_some(),
+            connection_age,
         };
         let reason = call.progress.header("lanedeck-reason");
         self.is_exhausted = reason == Some("budget_exhausted");
-        let returns = self.returns(&call);
-        let heeds = self.plan.habit != Habit::Stale || self.rng.random_bool(HEEDS);
-        if call.progress.status() != Some(200) && heeds {
+        let retries = self.retries(&call);
+        let resolves_again =
+            self.plan.habit != Habit::Stale || self.rng.random_bool(RESOLVE_AGAIN_SHARE);
+        if call.progress.status() != Some(200) && resolves_again {
             self.entries.clear();
         }
         let is_kept = matches!(self.plan.habit, Habit::Kept | Habit::Stale);
-        if is_kept && call.progress.end == End::Whole && line.is_open() {
-            self.lines.push(line);
+        if is_kept && call.progress.end == End::Whole && connection.is_open() {
+            self.connections.push(connection);
         }
-        self.world.calls.lock().unwrap().push(call);
-        returns
+        self.shared.calls.lock().unwrap().push(call);
+        retries
     }
 
-    fn returns(&self, call: &Call) -> bool {
-        if call.left || !self.plan.returns {
+    fn retries(&self, call: &Call) -> bool {
+        if call.was_abandoned || !self.plan.retries {
             return false;
         }
-        match (call.progress.end, call.told()) {
-            (_, Told::Ran(_)) => false,
+        match (call.progress.end, call.verdict()) {
+            (_, Verdict::Ran(_)) => false,
             (End::Whole, _) => !self.is_exhausted,
             (End::Unsent, _) => true,
             // Without faults a lost request is not retried, so that it shows as lost.
-            _ => self.world.kind == Kind::Faults,
+            _ => self.shared.kind == Kind::Faults,
         }
     }
 
     /// Returns a kept or a new connection. Half of the retries go to the router whose prefix their id has.
-    async fn line(&mut self, wish: Option<&Wish>) -> Option<Line> {
-        self.lines.retain(Line::is_open);
-        let wants_kept = self.lines.len() >= LINES || self.rng.random_bool(0.7);
-        if wish.is_none() && wants_kept && !self.lines.is_empty() {
-            let number = self.rng.random_range(0..self.lines.len());
-            return Some(self.lines.swap_remove(number));
+    async fn connection(&mut self, request: Option<&Request>) -> Option<Connection> {
+        self.connections.retain(Connection::is_open);
+        let wants_kept = self.connections.len() >= CONNECTIONS_MAX || self.rng.random_bool(0.7);
+        if request.is_none() && wants_kept && !self.connections.is_empty() {
+            let number = self.rng.random_range(0..self.connections.len());
+            return Some(self.connections.swap_remove(number));
         }
-        let home = wish.and_then(|wish| {
+        let home = request.and_then(|request| {
             let mut entries = self.entries.iter();
-            entries.find(|(_, prefix)| wish.id.starts_with(prefix.as_str()))
+            entries.find(|(_, prefix)| request.id.starts_with(prefix.as_str()))
         });
         let home = home.map(|(address, _)| *address);
         let mut left: Vec<SocketAddr> = self.entries.iter().map(|(address, _)| *address).collect();
         if let Some(home) = home.filter(|_| self.rng.random_bool(0.5))
-            && let Some(line) = Line::open(home, Reading::AtOnce).await
+            && let Some(connection) = Connection::open(home, Reading::AtOnce).await
         {
-            return Some(line);
+            return Some(connection);
         }
         while !left.is_empty() {
             let number = self.rng.random_range(0..left.len());
             let address = left.swap_remove(number);
-            if let Some(line) = Line::open(address, Reading::AtOnce).await {
-                return Some(line);
+            if let Some(connection) = Connection::open(address, Reading::AtOnce).await {
+                return Some(connection);
             }
         }
         self.entries.clear();
@@ -410,9 +415,9 @@
     async fn resolve(&mut self) {
         let ask = Ask::get("/v1/entry").with("authorization", &bearer(self.plan.payer));
         for _ in 0..3 {
-            let number = self.rng.random_range(0..self.world.routers.len());
-            let router = self.world.routers[number];
-            let Ok(Some(answer)) = timeout(RESOLVE, try_ask(router, &ask)).await else {
+            let number = self.rng.random_range(0..self.shared.routers.len());
+            let router = self.shared.routers[number];
+            let Ok(Some(answer)) = timeout(RESOLVE_TIMEOUT, try_ask(router, &ask)).await else {
                 continue;
             };
             let body: Value = serde_json::from_str(&answer.body).unwrap_or_default();
--- a/tests/soak/router/operator.rs
+++ b/tests/soak/router/operator.rs
@@ -11,7 +11,7 @@
 use crate::deployment::{Ask, try_ask};
 
 /// Timeout of a request to a router, which may be frozen.
-pub const ASK: Duration = Duration::from_secs(2);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub fn put(kind: &str, name: &str, object: Value) -> Value {
     json!({ "put": { "key": { kind: name }, "object": object } })
@@ -24,7 +24,10 @@
 
 pub async fn status(router: SocketAddr) -> Value {
     let ask = Ask::get("/v1/status").with("authorization", &operator());
-    let answer = timeout(ASK, try_ask(router, &ask)).await.ok().flatten();
+    let answer = timeout(REQUEST_TIMEOUT, try_ask(router, &ask))
+        .await
+        .ok()
+        .flatten();
     let answer = answer.filter(|answer| answer.status == 200);
     answer.map_or(Value::Null, |answer| {
         serde_json::from_str(&answer.body).unwrap_or_default()
@@ -40,7 +43,9 @@
     let ask = Ask::get(path)
         .post(&body.to_string())
         .with("authorization", &operator());
-    let answer = timeout(ASK, try_ask(router, &ask)).await.ok()??;
+    let answer = timeout(REQUEST_TIMEOUT, try_ask(router, &ask))
+        .await
+        .ok()??;
     let is_well = answer.status == 200;
     is_well.then(|| serde_json::from_str(&answer.body).unwrap_or_default())
 }
--- a/tests/soak/router/plan.rs
+++ b/tests/soak/router/plan.rs
@@ -6,18 +6,18 @@
 use crate::plan::{Habit, Kind};
 
 /// Duration of the load, in milliseconds: long enough that each router is stopped once or twice.
-const LOAD: u64 = 7_000;
+const LOAD_MS: u64 = 7_000;
 /// Time before the first step, in milliseconds: callers have open connections by then.
-const FIRST: u64 = 500;
+const FIRST_STEP_MS: u64 = 500;
 /// Longest time between steps, in milliseconds: shorter than a stop takes, so that steps overlap.
-const GAP: u64 = 500;
+const STEP_GAP_MAX_MS: u64 = 500;
 /// Callers per router: enough that during a stop a request arrives every few milliseconds.
-const CALLERS: usize = 9;
+const CALLERS_PER_ROUTER: usize = 9;
 /// Prepaid tokens of [`Payer::Scarce`] at the start, and those that a top-up adds.
-pub const SCARCE: u64 = 1_500;
-pub const TOP_UP: u64 = 500;
+pub const SCARCE_PREPAID: u64 = 1_500;
+pub const TOP_UP_TOKENS: u64 = 500;
 /// Share of faults among the steps of a run with faults, 0 to 1.
-const FAULTS: f64 = 0.6;
+const FAULT_SHARE: f64 = 0.6;
 /// Number of engines, and of services: two, so that one of them may drain.
 pub const TARGETS: usize = 2;
 
@@ -52,11 +52,11 @@
     pub habit: Habit,
     pub payer: Payer,
     /// Longest pause between two requests, in milliseconds.
-    pub pause: u64,
+    pub pause_max_ms: u64,
     /// Whether it retries requests with the same id.
-    pub returns: bool,
+    pub retries: bool,
     /// Share of its calls that it abandons early, 0 to 1.
-    pub leaves: f64,
+    pub abandon_share: f64,
 }
 
 /// A change by an operator.
@@ -81,10 +81,11 @@
 
 /// Faults of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Harm {
+pub enum TargetFault {
     /// An engine refuses this share of its requests, in thousandths; a service refuses all.
     Refuses(u32),
-    /// An engine cuts this share of its streams, in thousandths; a service executes each request and answers with an error.
+    /// An engine cuts this share of its streams, in thousandths; a service executes each request and answers with an
+    /// error.
     Breaks(u32),
     /// An engine is slower by this factor; a service answers after this many times ten milliseconds.
     Slow(u32),
@@ -92,7 +93,7 @@
 
 /// Faults of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LogHarm {
+pub enum LogFault {
     Down,
     /// Each answer takes this many milliseconds.
     Slow(u64),
@@ -114,11 +115,11 @@
     /// SIGSTOP, and SIGCONT this many milliseconds later.
     Freeze(usize, u64),
     /// The log has a fault for this many milliseconds.
-    Log(LogHarm, u64),
+    Log(LogFault, u64),
     /// An engine has a fault for this many milliseconds.
-    Engine(usize, Harm, u64),
+    Engine(usize, TargetFault, u64),
     /// A service has a fault for this many milliseconds.
-    Service(usize, Harm, u64),
+    Service(usize, TargetFault, u64),
 }
 
 #[derive(Clone, Debug)]
@@ -127,11 +128,11 @@
     pub kind: Kind,
     pub routers: usize,
     /// Latency of the log without a fault, in milliseconds. Giving back grants takes this long.
-    pub log: u64,
+    pub log_delay_ms: u64,
     pub callers: Vec<Caller>,
     /// Steps, each with its time in milliseconds.
     pub steps: Vec<(u64, Step)>,
-    pub load: u64,
+    pub load_ms: u64,
 }
 
 impl Plan {
@@ -144,15 +145,17 @@
             seed,
             kind,
             routers,
-            log: rng.random_range(2..=150),
-            callers: (0..routers * CALLERS).map(|_| caller(&mut rng)).collect(),
+            log_delay_ms: rng.random_range(2..=150),
+            callers: (0..routers * CALLERS_PER_ROUTER)
+                .map(|_| caller(&mut rng))
+                .collect(),
             steps: Vec::new(),
-            load: LOAD,
+            load_ms: LOAD_MS,
         };
-        let mut at = FIRST;
-        while at < LOAD {
+        let mut at = FIRST_STEP_MS;
+        while at < LOAD_MS {
             let step = match kind {
-                Kind::Faults if rng.random_bool(FAULTS) => fault(&mut rng, routers),
+                Kind::Faults if rng.random_bool(FAULT_SHARE) => fault(&mut rng, routers),
                 _ => step(&mut rng, routers),
             };
             plan.steps.push((at, step));
@@ -160,7 +163,7 @@
             at += if rng.random_bool(0.5) {
                 rng.random_range(0..30)
             } else {
-                rng.random_range(30..GAP)
+                rng.random_range(30..STEP_GAP_MAX_MS)
             };
         }
         plan
@@ -179,9 +182,9 @@
             0..6 => Payer::Rich,
             _ => Payer::Scarce,
         },
-        pause: [10, 50, 300][rng.random_range(0..3)],
-        returns: rng.random_bool(0.7),
-        leaves: [0.0, 0.0, 0.1][rng.random_range(0..3)],
+        pause_max_ms: [10, 50, 300][rng.random_range(0..3)],
+        retries: rng.random_bool(0.7),
+        abandon_share: [0.0, 0.0, 0.1][rng.random_range(0..3)],
     }
 }
 
@@ -204,23 +207,23 @@
     let router = rng.random_range(0..routers);
     let target = rng.random_range(0..TARGETS);
     let span = rng.random_range(100..2_000);
-    let harm = match rng.random_range(0..3) {
-        0 => Harm::Refuses(rng.random_range(100..700)),
-        1 => Harm::Breaks(rng.random_range(100..700)),
-        _ => Harm::Slow(rng.random_range(2..20)),
+    let fault = match rng.random_range(0..3) {
+        0 => TargetFault::Refuses(rng.random_range(100..700)),
+        1 => TargetFault::Breaks(rng.random_range(100..700)),
+        _ => TargetFault::Slow(rng.random_range(2..20)),
     };
     match rng.random_range(0..20) {
         0..6 => Step::Kill(router, rng.random_range(0..600)),
         6..9 => Step::Freeze(router, rng.random_range(100..3_000)),
         9..12 => {
-            let harm = match rng.random_range(0..3) {
-                0 => LogHarm::Down,
-                1 => LogHarm::Slow(rng.random_range(200..900)),
-                _ => LogHarm::Loses(rng.random_range(100..700)),
+            let fault = match rng.random_range(0..3) {
+                0 => LogFault::Down,
+                1 => LogFault::Slow(rng.random_range(200..900)),
+                _ => LogFault::Loses(rng.random_range(100..700)),
             };
-            Step::Log(harm, span)
+            Step::Log(fault, span)
         }
-        12..16 => Step::Engine(target, harm, span),
-        _ => Step::Service(target, harm, span),
+        12..16 => Step::Engine(target, fault, span),
+        _ => Step::Service(target, fault, span),
     }
 }
--- a/tests/soak/router/promise.rs
+++ b/tests/soak/router/promise.rs
@@ -9,10 +9,10 @@
 use lanedeck::standin::service::{Receipt, receipt};
 use serde_json::Value;
 
-use super::caller::{Call, Told, Wish, Work};
+use super::caller::{Call, Request, Verdict, Work};
 use super::plan::Payer;
 use crate::line::End;
-use crate::promise::{Broken, UNREAD_MAX};
+use crate::promise::{UNREAD_MAX, Violation};
 
 /// If a request was sent on a new connection within this time, the router must read it before it closes the
 /// connection: half of the time that a router keeps a connection open for its first request.
@@ -20,10 +20,10 @@
 
 /// What callers, targets and steps of a run have recorded.
 #[derive(Default)]
-pub struct Seen {
+pub struct Observations {
     pub calls: Vec<Call>,
     /// All requests, by id.
-    pub asked: HashMap<String, Arc<Wish>>,
+    pub requests: HashMap<String, Arc<Request>>,
     /// How often each id ran, over all targets.
     pub ran: BTreeMap<String, u64>,
     /// Periods in which a router was killed, frozen, or recovering from either.
@@ -31,34 +31,36 @@
     pub has_faults: bool,
 }
 
-/// Tokens that a payer used for requests that ran, each counted once. With faults, targets may cut streams off, and such
-/// a request is billed only what it delivered: if `whole` is given, model calls that are not in it are left out.
+/// Tokens that a payer used for requests that ran, each counted once. With faults, targets may cut streams off, and
+/// such a request is billed only what it delivered: if `delivered` is given, model calls that are not in it are left
+/// out.
 pub fn spent(
-    asked: &HashMap<String, Arc<Wish>>,
+    requests: &HashMap<String, Arc<Request>>,
     ran: &BTreeMap<String, u64>,
     payer: Payer,
-    whole: Option<&HashSet<String>>,
+    delivered: Option<&HashSet<String>>,
 ) -> u64 {
-    let wishes = ran.keys().filter_map(|id| asked.get(id));
-    let own = wishes.filter(|wish| {
-        let came = wish.work == Work::Call || whole.is_none_or(|whole| whole.contains(&wish.id));
-        wish.payer == payer && came
+    let requests = ran.keys().filter_map(|id| requests.get(id));
+    let own = requests.filter(|request| {
+        let came = request.work == Work::Call
+            || delivered.is_none_or(|delivered| delivered.contains(&request.id));
+        request.payer == payer && came
     });
-    own.map(|wish| wish.cost()).sum()
+    own.map(|request| request.cost()).sum()
 }
 
-impl Seen {
+impl Observations {
     /// Returns all violations.
-    pub fn broken(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
+    pub fn violations(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         let mut by_id: HashMap<&str, Vec<&Call>> = HashMap::new();
         for call in &self.calls {
-            by_id.entry(&call.wish.id).or_default().push(call);
+            by_id.entry(&call.request.id).or_default().push(call);
         }
-        for (id, tries) in &by_id {
+        for (id, attempts) in &by_id {
             let runs = self.ran.get(*id).copied().unwrap_or(0);
-            let mut checks = vec![once(tries, runs), self.refused(tries, runs)];
-            for call in tries {
+            let mut checks = vec![once(attempts, runs), self.refused(attempts, runs)];
+            for call in attempts {
                 checks.extend([
                     self.answered(call, runs),
                     own_answer(call),
@@ -67,28 +69,37 @@
                     billed(call),
                 ]);
             }
-            broken.extend(checks.into_iter().flatten().map(|(promise, what)| Broken {
-                promise,
-                id: Some((*id).to_owned()),
-                what,
-            }));
+            violations.extend(
+                checks
+                    .into_iter()
+                    .flatten()
+                    .map(|(promise, what)| Violation {
+                        promise,
+                        id: Some((*id).to_owned()),
+                        what,
+                    }),
+            );
         }
-        for id in self.ran.keys().filter(|id| !self.asked.contains_key(*id)) {
-            broken.push(Broken {
+        for id in self
+            .ran
+            .keys()
+            .filter(|id| !self.requests.contains_key(*id))
+        {
+            violations.push(Violation {
                 promise: "UNASKED",
                 id: Some(id.clone()),
-                what: "ran, and no caller has sent it".to_owned(),
+                what: "ran, but no caller has sent it".to_owned(),
             });
         }
-        broken
+        violations
     }
 
     /// Sum of the bills that a payer's callers were told, each request counted once.
-    pub fn told_billed(&self, payer: Payer) -> u64 {
+    pub fn billed_total(&self, payer: Payer) -> u64 {
         let mut bills: HashMap<&str, u64> = HashMap::new();
-        for call in self.calls.iter().filter(|call| call.wish.payer == payer) {
-            if let Told::Ran(billed) = call.told() {
-                let bill = bills.entry(&call.wish.id).or_default();
+        for call in self.calls.iter().filter(|call| call.request.payer == payer) {
+            if let Verdict::Ran(billed) = call.verdict() {
+                let bill = bills.entry(&call.request.id).or_default();
                 *bill = billed.max(*bill);
             }
         }
@@ -96,12 +107,12 @@
     }
 
     /// What callers and targets saw of a request, for the timeline.
-    pub fn told(&self, id: Option<&str>) -> Vec<(Instant, String)> {
+    pub fn timeline(&self, id: Option<&str>) -> Vec<(Instant, String)> {
         let own = self
             .calls
             .iter()
-            .filter(|call| Some(call.wish.id.as_str()) == id);
-        let mut lines: Vec<_> = own.flat_map(Call::lines).collect();
+            .filter(|call| Some(call.request.id.as_str()) == id);
+        let mut lines: Vec<_> = own.flat_map(Call::timeline).collect();
         let runs = id.and_then(|id| self.ran.get(id)).copied().unwrap_or(0);
         if let Some((at, _)) = lines.last().cloned() {
             lines.push((at, format!("target  it ran {runs} times in all")));
@@ -118,83 +129,90 @@
 
     /// LOST: each request that was read completely ends in a complete response or a refusal.
     fn answered(&self, call: &Call, runs: u64) -> Option<(&'static str, String)> {
-        if call.left || self.was_disturbed(call) {
+        if call.was_abandoned || self.was_disturbed(call) {
             return None;
         }
         let progress = &call.progress;
         let sent = progress.sent.get();
         let unread = sent.map(|sent| call.ended - *sent);
-        let first = call.fresh.and_then(|age| Some(age + (*sent? - call.begun)));
+        let first = call
+            .connection_age
+            .and_then(|age| Some(age + (*sent? - call.begun)));
         let what = match progress.end {
             End::Open => "neither answered nor refused",
-            End::Cut if !self.has_faults => "its answer broke off",
+            End::Cut if !self.has_faults => "its response was cut off",
             // With faults, an earlier attempt of the request may be the one that ran.
             End::Closed if runs > 0 && !self.has_faults => "ran, and its connection was closed",
-            End::Closed if progress.in_order && first.is_some_and(|age| age < FRESH_MAX) => {
-                "read on a new connection, which ended without an answer"
+            End::Closed
+                if progress.was_closed_cleanly && first.is_some_and(|age| age < FRESH_MAX) =>
+            {
+                "read on a new connection, which ended without a response"
             }
             End::Closed if unread.is_some_and(|unread| unread > UNREAD_MAX) => {
                 "closed long after it was sent"
             }
-            End::Whole if call.told() == Told::Nothing => "its answer tells no verdict",
-            End::Whole if broke_off(call) && !self.has_faults => "told that its answer broke off",
+            End::Whole if call.verdict() == Verdict::Missing => "its response has no verdict",
+            End::Whole if was_cut_off(call) && !self.has_faults => {
+                "told that its response was cut off"
+            }
             _ => return None,
         };
         Some(("LOST", what.to_owned()))
     }
 }
 
-impl Seen {
+impl Observations {
     /// DENIED: a valid request is not refused with an error that blames its caller.
     fn denied(&self, call: &Call) -> Option<(&'static str, String)> {
         match call.progress.status()? {
             status @ 400..=404 if status != 402 => {
-                Some(("DENIED", format!("{status} for a proper request")))
+                Some(("DENIED", format!("{status} for a valid request")))
             }
-            402 if call.wish.payer == Payer::Rich => {
-                Some(("DENIED", "402 with plenty of tokens".to_owned()))
+            402 if call.request.payer == Payer::Rich => {
+                Some(("DENIED", "402 despite enough tokens".to_owned()))
             }
             _ => None,
         }
     }
 
     /// REFUSED: if the last verdict on a request is that it has not run, it has not run by the end of the test run.
-    fn refused(&self, tries: &[&Call], runs: u64) -> Option<(&'static str, String)> {
-        let last = tries.iter().max_by_key(|call| call.begun)?;
-        let is_promise = last.told() == Told::NotRun;
-        (is_promise && runs > 0).then(|| ("REFUSED", "told that it has not run".to_owned()))
+    fn refused(&self, attempts: &[&Call], runs: u64) -> Option<(&'static str, String)> {
+        let last = attempts.iter().max_by_key(|call| call.begun)?;
+        let is_promise = last.verdict() == Verdict::NotRun;
+        (is_promise && runs > 0)
+            .then(|| ("REFUSED", "told that it has not run, but it has".to_owned()))
     }
 }
 
 /// Whether a stream's last event says that the stream was cut off.
-fn broke_off(call: &Call) -> bool {
-    let is_stream = matches!(call.wish.work, Work::Stream(_));
-    let is_whole = call.progress.status() != Some(200) || matches!(call.told(), Told::Ran(_));
+fn was_cut_off(call: &Call) -> bool {
+    let is_stream = matches!(call.request.work, Work::Stream(_));
+    let is_whole = call.progress.status() != Some(200) || matches!(call.verdict(), Verdict::Ran(_));
     is_stream && !is_whole
 }
 
 /// TWICE: a request that may not be repeated runs at most once.
-fn once(tries: &[&Call], runs: u64) -> Option<(&'static str, String)> {
-    let is_twice = !tries.first()?.wish.repeatable && runs > 1;
+fn once(attempts: &[&Call], runs: u64) -> Option<(&'static str, String)> {
+    let is_twice = !attempts.first()?.request.repeatable && runs > 1;
     is_twice.then(|| {
         (
             "TWICE",
-            format!("ran {runs} times in {} tries", tries.len()),
+            format!("ran {runs} times in {} attempts", attempts.len()),
         )
     })
 }
 
 /// UNSERVED: a request whose verdict is that it ran has run.
 fn served(call: &Call, runs: u64) -> Option<(&'static str, String)> {
-    let is_promise = matches!(call.told(), Told::Ran(_));
-    (is_promise && runs == 0).then(|| ("UNSERVED", "told that it ran".to_owned()))
+    let is_promise = matches!(call.verdict(), Verdict::Ran(_));
+    (is_promise && runs == 0).then(|| ("UNSERVED", "told that it ran, but it has not".to_owned()))
 }
 
 /// BILLED: no caller is told a bill above the cost of its request.
 fn billed(call: &Call) -> Option<(&'static str, String)> {
-    let (told, cost) = (call.told(), call.wish.cost());
-    let is_over = matches!(told, Told::Ran(billed) if billed > cost);
-    is_over.then(|| ("BILLED", format!("{told:?} for {cost}")))
+    let (verdict, cost) = (call.verdict(), call.request.cost());
+    let is_over = matches!(verdict, Verdict::Ran(billed) if billed > cost);
+    is_over.then(|| ("BILLED", format!("{verdict:?} for {cost}")))
 }
 
 /// MIXED and ORDER: a response belongs to its request, and is complete or visibly cut off.
@@ -202,28 +220,37 @@
     if call.progress.status()? != 200 {
         return None;
     }
-    let (wish, prompt) = (&call.wish, call.wish.prompt());
-    let words = |tokens: u64| -> String { (0..tokens).map(|place| word(&prompt, place)).collect() };
+    let (request, prompt) = (&call.request, call.request.prompt());
+    let words = |tokens: u64| -> String {
+        (0..tokens)
+            .map(|position| word(&prompt, position))
+            .collect()
+    };
     let is_whole = call.progress.end == End::Whole;
-    let fits = match wish.work {
+    let fits = match request.work {
         Work::Stream(tokens) => return stream_fits(call, &prompt, tokens),
         _ if !is_whole => true,
         Work::Whole(tokens) => {
             let body: Value = serde_json::from_slice(&call.progress.body).unwrap_or_default();
             let content = body["choices"][0]["message"]["content"].as_str();
-            content == Some(&words(tokens)) && body["id"] == wish.id
+            content == Some(&words(tokens)) && body["id"] == request.id
         }
         Work::Call => {
             let got: Option<Receipt> = serde_json::from_slice(&call.progress.body).ok();
-            let receipt = receipt(wish.text.as_bytes());
-            let request_id = wish.id.clone();
+            let receipt = receipt(request.text.as_bytes());
+            let request_id = request.id.clone();
             got == Some(Receipt {
                 request_id,
                 receipt,
             })
         }
     };
-    (!fits).then(|| ("MIXED", "another's answer, or not whole".to_owned()))
+    (!fits).then(|| {
+        (
+            "MIXED",
+            "response of another request, or incomplete".to_owned(),
+        )
+    })
 }
 
 fn stream_fits(call: &Call, prompt: &str, tokens: u64) -> Option<(&'static str, String)> {
@@ -232,7 +259,7 @@
         if frame["error"].is_object() {
             return None;
         }
-        if frame["id"] != call.wish.id {
+        if frame["id"] != call.request.id {
             return Some(("MIXED", format!("an event of {}", frame["id"])));
         }
         if frame["usage"].is_object() {
@@ -250,7 +277,7 @@
     is_ended.then(|| {
         (
             "ORDER",
-            format!("ended as whole after {next} of {tokens} words"),
+            format!("ended as complete after {next} of {tokens} words"),
         )
     })
 }
@@ -260,16 +287,16 @@
     let mut tally = BTreeMap::new();
     for call in calls {
         let progress = &call.progress;
-        let word = match (call.left, progress.end, progress.status()) {
-            (true, ..) => "left".to_owned(),
-            (_, End::Whole, Some(200)) if broke_off(call) => "broke_off".to_owned(),
+        let outcome = match (call.was_abandoned, progress.end, progress.status()) {
+            (true, ..) => "abandoned".to_owned(),
+            (_, End::Whole, Some(200)) if was_cut_off(call) => "cut_off".to_owned(),
             (_, End::Whole, Some(status)) => {
                 let reason = progress.header("lanedeck-reason").unwrap_or("");
                 format!("{status} {reason}").trim().to_owned()
             }
             (_, end, _) => format!("{end:?}").to_lowercase(),
         };
-        *tally.entry(word).or_default() += 1;
+        *tally.entry(outcome).or_default() += 1;
     }
     tally
 }
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -9,15 +9,15 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::caller::{Caller, World};
+use crate::caller::{Caller, Shared};
 use crate::deployment::runner::{Arrival, Mode, Runner};
 use crate::deployment::store::{Fault, Store};
 use crate::deployment::{Deployment, LONG, list_at, list_born};
 use crate::operator::Config;
-use crate::place::Place;
-use crate::plan::{Change, Kind, Notice, Plan, Step, TARGETS, TOP_UP};
-use crate::promise::{Broken, IN_FORCE_MAX, Seen};
-use crate::proxy::{Harm, Proxy};
+use crate::place::GatewaySlot;
+use crate::plan::{Change, Departure, Kind, Plan, Step, TARGETS, TOP_UP_TOKENS};
+use crate::promise::{IN_FORCE_MAX, Observations, Violation};
+use crate::proxy::{LinkFault, Proxy};
 use crate::timeline::Journal;
 
 #[path = "ending.rs"]
@@ -26,22 +26,22 @@
 mod faults;
 
 /// Grace period of a gateway's shutdown, in milliseconds: several times the longest request.
-const GRACE: &str = "8000";
+const GRACE_MS: &str = "8000";
 /// Time from a target's announcement that it drains until its entry is removed.
-const DRAINING: Duration = Duration::from_millis(1_500);
+const DRAIN_PERIOD: Duration = Duration::from_millis(1_500);
 /// Time from then on until another instance takes its address. Together they exceed [`IN_FORCE_MAX`], the time in
 /// which the target may still get requests.
-const UNTIL_REPLACED: Duration = Duration::from_millis(2_000);
+const REPLACEMENT_DELAY: Duration = Duration::from_millis(2_000);
 /// Longest time a process may take to exit beyond its grace period: many times what it needs.
-const END_MAX: Duration = Duration::from_secs(20);
+const EXIT_MAX: Duration = Duration::from_secs(20);
 /// How long a process counts as disturbed after it is back: it reads the store and finds its peers.
-const RETURN: Duration = Duration::from_secs(1);
+const RECOVERY_TIME: Duration = Duration::from_secs(1);
 /// Time from a target's crash until its entry is removed: about three of its heartbeats.
-const UNTIL_FORGOTTEN: Duration = Duration::from_millis(900);
+const ENTRY_REMOVAL_DELAY: Duration = Duration::from_millis(900);
 /// Time from then on until a new instance starts at its address.
-const UNTIL_BACK: Duration = Duration::from_millis(700);
+const SUCCESSOR_DELAY: Duration = Duration::from_millis(700);
 /// Name prefix of instances whose service no route names.
-pub const FOREIGN: &str = "x";
+pub const FOREIGN_PREFIX: &str = "x";
 /// Topics that a compaction step compacts.
 const TOPICS: [&str; 4] = [
     "keyed.op",
@@ -50,14 +50,14 @@
     "keyed.routers",
 ];
 /// Interval between checks of a process.
-const LOOK: Duration = Duration::from_millis(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest time that requests go on after the end of the load: the longest stream.
-const QUIET: Duration = Duration::from_millis(1_500);
+const REMAINING_WORK_MAX: Duration = Duration::from_millis(1_500);
 
 /// The result of a run.
 pub struct Outcome {
     pub seed: u64,
-    pub broken: Vec<Broken>,
+    pub violations: Vec<Violation>,
     /// The timeline around the first violation.
     pub timeline: String,
     /// One line that sums up the run.
@@ -78,14 +78,14 @@
     plan: Plan,
     journal: Journal,
     store: Store,
-    places: Vec<Place>,
+    slots: Vec<GatewaySlot>,
     targets: Arc<Vec<Target>>,
-    leaving: Arc<Mutex<Vec<usize>>>,
+    reserved_targets: Arc<Mutex<Vec<usize>>>,
     config: Config,
-    seen: Arc<Mutex<Seen>>,
-    broken: Arc<Mutex<Vec<Broken>>>,
+    observations: Arc<Mutex<Observations>>,
+    violations: Arc<Mutex<Vec<Violation>>>,
     tasks: JoinSet<()>,
-    world: World,
+    shared: Shared,
 }
 
 /// Executes a plan.
@@ -93,23 +93,23 @@
     std::fs::create_dir_all(&logs).unwrap();
     let seed = plan.seed;
     let mut run = Run::start(plan, &logs).await;
-    let world = run.world.clone();
+    let shared = run.shared.clone();
     let begin = Instant::now();
-    let end = begin + Duration::from_millis(run.plan.load);
+    let end = begin + Duration::from_millis(run.plan.load_ms);
     let mut callers = JoinSet::new();
     for (number, caller) in run.plan.callers.clone().into_iter().enumerate() {
         let name = format!("s{seed}c{number}");
-        callers.spawn(Caller::new(name, caller, world.clone()).run(end));
+        callers.spawn(Caller::new(name, caller, shared.clone()).run(end));
     }
     for (at, step) in run.plan.steps.clone() {
         sleep((begin + Duration::from_millis(at)).saturating_duration_since(Instant::now())).await;
-        run.take(step);
+        run.apply(step);
     }
     while let Some(ended) = callers.join_next().await {
         ended.unwrap();
     }
-    run.journal.note("the load has ended");
-    run.end(&logs).await
+    run.journal.record("the load has ended");
+    run.finish(&logs).await
 }
 
 impl Run {
@@ -138,13 +138,13 @@
             store: store.clone(),
             gateways: Vec::new(),
         };
-        let keep = plan.keep.to_string();
-        let copy_age = plan.copy_age.to_string();
+        let keep = plan.address_ttl_ms.to_string();
+        let copy_age = plan.copy_age_max_ms.to_string();
         let flags = [
             "--keep",
             keep.as_str(),
             "--grace",
-            GRACE,
+            GRACE_MS,
             "--copy-age",
             copy_age.as_str(),
         ];
@@ -156,65 +156,65 @@
         deployment.wait_ready().await;
         deployment.wait_acquainted().await;
         for gateway in &deployment.gateways {
-            store.set_fault(gateway.store, Fault::Slow(plan.store));
+            store.set_fault(gateway.store, Fault::Slow(plan.store_delay_ms));
         }
         let directories = deployment.gateways.iter().map(|gateway| gateway.directory);
-        let world = World {
+        let shared = Shared {
             directories: Arc::new(directories.collect()),
-            ..World::default()
+            ..Shared::default()
         };
         Self {
             plan,
             journal: Journal::default(),
             store,
-            places: deployment
+            slots: deployment
                 .gateways
                 .into_iter()
-                .map(|gateway| Place::new(gateway, logs))
+                .map(|gateway| GatewaySlot::new(gateway, logs))
                 .collect(),
             targets: Arc::new(targets),
-            leaving: Arc::default(),
+            reserved_targets: Arc::default(),
             config,
-            seen: Arc::default(),
-            broken: Arc::default(),
+            observations: Arc::default(),
+            violations: Arc::default(),
             tasks: JoinSet::new(),
-            world,
+            shared,
         }
     }
 
-    fn take(&mut self, step: Step) {
+    fn apply(&mut self, step: Step) {
         match step {
             Step::Stop(number, pause) => self.stop(number, Duration::from_millis(pause)),
             Step::Reload(number) => {
-                let place = &self.places[number];
-                if place.has_begun() {
-                    self.journal.note(format!("SIGHUP {}", place.name));
-                    place.signal("HUP");
+                let slot = &self.slots[number];
+                if slot.has_started() {
+                    self.journal.record(format!("SIGHUP {}", slot.name));
+                    slot.signal("HUP");
                 }
             }
             Step::Change(change) => self.change(change),
             Step::Leave(number, notice) => self.leave(number, notice),
             Step::Kill(number, pause) => self.kill(number, Duration::from_millis(pause)),
             Step::Freeze(number, span) => self.freeze(number, Duration::from_millis(span)),
-            Step::Store(some, fault, span) => self.harm_store(some, fault, span),
+            Step::Store(only, fault, span) => self.set_store_fault(only, fault, span),
             Step::Compact => {
-                self.journal.note("the store drops its history");
+                self.journal.record("the store compacts its topics");
                 for topic in TOPICS {
                     self.store.compact(topic);
                 }
             }
             Step::Restore(age, away, again) => self.restore_store(age, away, again),
-            Step::Link(number, harm, span) => {
+            Step::Link(number, fault, span) => {
                 let target = Arc::clone(&self.targets);
                 self.during(
                     span,
-                    format!("link to target {number}: {harm:?}"),
+                    format!("link to target {number}: {fault:?}"),
                     move |is_on| {
-                        let harm = if is_on { harm } else { Harm::None };
+                        let fault = if is_on { fault } else { LinkFault::None };
                         target[number]
                             .proxy
                             .iter()
-                            .for_each(|proxy| proxy.set(harm));
+                            .for_each(|proxy| proxy.set(fault));
                     },
                 );
             }
@@ -225,39 +225,41 @@
                     target[number].runner.set(mode);
                 });
             }
-            Step::Lapse(number, back, span) => self.lapse(number, back, span),
+            Step::Lapse(number, rewrite, span) => self.lapse(number, rewrite, span),
             Step::Crash(number) => self.crash(number),
             Step::Restart(number) => self.restart(number),
-            Step::Say(number, said, span) => self.say(number, said, Duration::from_millis(span)),
+            Step::Notice(number, notice, span) => {
+                self.send_notice(number, notice, Duration::from_millis(span))
+            }
         }
     }
 
     /// Stops a gateway and starts it again, unless no other gateway is free of steps.
     fn stop(&mut self, number: usize, pause: Duration) {
-        let place = self.places[number].clone();
-        let others = self.places.iter().filter(|other| !other.is_taken()).count();
-        if place.is_taken() || others < 2 {
+        let slot = self.slots[number].clone();
+        let others = self.slots.iter().filter(|other| !other.is_busy()).count();
+        if slot.is_busy() || others < 2 {
             return;
         }
-        *place.is_taken.lock().unwrap() = true;
-        self.journal.note(format!("SIGTERM {}", place.name));
-        place.signal("TERM");
-        let (journal, broken) = (self.journal.clone(), Arc::clone(&self.broken));
-        let seen = Arc::clone(&self.seen);
-        let grace = Duration::from_millis(GRACE.parse().unwrap());
+        *slot.is_busy.lock().unwrap() = true;
+        self.journal.record(format!("SIGTERM {}", slot.name));
+        slot.signal("TERM");
+        let (journal, violations) = (self.journal.clone(), Arc::clone(&self.violations));
+        let observations = Arc::clone(&self.observations);
+        let grace = Duration::from_millis(GRACE_MS.parse().unwrap());
         self.tasks.spawn(async move {
-            if wait(grace + END_MAX, || place.has_ended()).await {
-                journal.note(format!("{} has ended", place.name));
+            if wait_until(grace + EXIT_MAX, || slot.has_ended()).await {
+                journal.record(format!("{} has exited", slot.name));
             } else {
-                broken.lock().unwrap().push(Broken {
+                violations.lock().unwrap().push(Violation {
                     promise: "LOST",
                     id: None,
-                    what: format!("{} does not end after SIGTERM", place.name),
+                    what: format!("{} does not exit after SIGTERM", slot.name),
                 });
-                place.gateway.lock().unwrap().kill();
+                slot.gateway.lock().unwrap().kill();
             }
             sleep(pause).await;
-            start_again(&place, &journal, &seen).await;
+            start_again(&slot, &journal, &observations).await;
         });
     }
 
@@ -268,37 +270,38 @@
             Change::Weights(app, other) => config.weights = (app, other),
             Change::TopUp => {
                 self.check_spend();
-                self.config.prepaid += TOP_UP;
+                self.config.prepaid += TOP_UP_TOKENS;
             }
             Change::Timeout(timeout) => config.timeout = timeout,
-            Change::TakeKey => {
+            Change::RevokeKey => {
                 config.has_key = false;
             }
         }
-        if change == Change::TakeKey {
-            let mut seen = self.seen.lock().unwrap();
-            seen.revoked.get_or_insert_with(Instant::now);
+        if change == Change::RevokeKey {
+            let mut observations = self.observations.lock().unwrap();
+            observations.revoked.get_or_insert_with(Instant::now);
         }
         let value = self.config.value();
         self.store.put("keyed.op", "config", Some(&value));
         let version = self.config.version;
         self.journal
-            .note(format!("configuration {version}: {change:?}"));
+            .record(format!("configuration {version}: {change:?}"));
     }
 
     /// Takes a target out of service. It still answers requests until another instance takes its address.
-    fn leave(&mut self, number: usize, notice: Notice) {
-        if !self.take_target(number) {
+    fn leave(&mut self, number: usize, notice: Departure) {
+        if !self.reserve_target(number) {
             return;
         }
         let instance = self.targets[number].runner.instance();
-        self.journal.note(format!("{instance} leaves: {notice:?}"));
+        self.journal
+            .record(format!("{instance} leaves: {notice:?}"));
         let (store, targets) = (self.store.clone(), Arc::clone(&self.targets));
-        let (journal, leaving) = (self.journal.clone(), Arc::clone(&self.leaving));
-        let seen = Arc::clone(&self.seen);
+        let (journal, reserved) = (self.journal.clone(), Arc::clone(&self.reserved_targets));
+        let observations = Arc::clone(&self.observations);
         self.tasks.spawn(async move {
             let target = &targets[number];
-            if notice == Notice::Draining {
+            if notice == Departure::Draining {
                 let born = target.runner.born();
                 list_born(
                     &store,
@@ -308,27 +311,29 @@
                     "draining",
                     born,
                 );
-                seen.lock()
+                observations
+                    .lock()
                     .unwrap()
                     .departures
                     .push((instance.clone(), Instant::now()));
-                sleep(DRAINING).await;
+                sleep(DRAIN_PERIOD).await;
                 store.put("keyed.servers", &instance, None);
             } else {
                 store.put("keyed.servers", &instance, None);
-                seen.lock()
+                observations
+                    .lock()
                     .unwrap()
                     .departures
                     .push((instance.clone(), Instant::now()));
-                sleep(DRAINING).await;
+                sleep(DRAIN_PERIOD).await;
             }
-            sleep(UNTIL_REPLACED).await;
-            let (place, life) = instance.split_once('-').unwrap();
-            let next = format!("{place}-{}", life.parse::<u32>().unwrap() + 1);
+            sleep(REPLACEMENT_DELAY).await;
+            let (prefix, generation) = instance.split_once('-').unwrap();
+            let next = format!("{prefix}-{}", generation.parse::<u32>().unwrap() + 1);
             target.runner.replace(&next);
             list_at(&store, target.service, &next, target.address, "ready");
-            journal.note(format!("{next} has its address"));
-            leaving.lock().unwrap().retain(|other| *other != number);
+            journal.record(format!("{next} has taken its address"));
+            reserved.lock().unwrap().retain(|other| *other != number);
         });
     }
 
@@ -338,31 +343,31 @@
     }
 }
 
-async fn start_again(place: &Place, journal: &Journal, seen: &Mutex<Seen>) {
-    let restart = (place.front, Instant::now());
-    seen.lock().unwrap().restarts.push(restart);
-    place.start_again();
-    journal.note(format!("{} is started again", place.name));
+async fn start_again(slot: &GatewaySlot, journal: &Journal, observations: &Mutex<Observations>) {
+    let restart = (slot.front, Instant::now());
+    observations.lock().unwrap().restarts.push(restart);
+    slot.start_again();
+    journal.record(format!("{} is restarted", slot.name));
     let end = Instant::now() + LONG;
-    while Instant::now() < end && !place.is_ready().await {
-        sleep(LOOK).await;
+    while Instant::now() < end && !slot.is_ready().await {
+        sleep(POLL_INTERVAL).await;
     }
-    *place.is_taken.lock().unwrap() = false;
+    *slot.is_busy.lock().unwrap() = false;
 }
 
 /// Waits until a condition holds. Returns whether it did within the limit.
-async fn wait(limit: Duration, holds: impl Fn() -> bool) -> bool {
+async fn wait_until(limit: Duration, holds: impl Fn() -> bool) -> bool {
     let end = Instant::now() + limit;
     while !holds() {
         if Instant::now() >= end {
             return false;
         }
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     true
 }
 
 const _: () = assert!(
-    DRAINING.as_millis() + UNTIL_REPLACED.as_millis() > IN_FORCE_MAX.as_millis(),
+    DRAIN_PERIOD.as_millis() + REPLACEMENT_DELAY.as_millis() > IN_FORCE_MAX.as_millis(),
     "a leaving target runs past the bound, so that it records requests that come too late"
 );
--- a/tests/soak/timeline.rs
+++ b/tests/soak/timeline.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-use crate::promise::Broken;
+use crate::promise::Violation;
 
 /// Log events that a timeline shows for each process, besides those of the request.
 const EVENTS: [&str; 16] = [
@@ -31,14 +31,14 @@
 /// Maximum number of printed lines, so that a failure stays readable.
 const LINES_MAX: usize = 400;
 /// How long before and after a request steps and log lines are shown, in milliseconds.
-const AROUND: f64 = 4_000.0;
+const CONTEXT_MS: f64 = 4_000.0;
 
 /// Records the steps as they happen. All times are shown relative to its start.
 #[derive(Clone)]
 pub struct Journal {
-    began: Instant,
+    started: Instant,
     /// The time of day at the start, in milliseconds.
-    began_at: f64,
+    started_at: f64,
     steps: Arc<Mutex<Vec<(Instant, String)>>>,
 }
 
@@ -46,44 +46,44 @@
     fn default() -> Self {
         let now = SystemTime::now().duration_since(UNIX_EPOCH);
         Self {
-            began: Instant::now(),
-            began_at: now.unwrap().as_secs_f64() * 1e3 % DAY_MS,
+            started: Instant::now(),
+            started_at: now.unwrap().as_secs_f64() * 1e3 % DAY_MS,
             steps: Arc::default(),
         }
     }
 }
 
 impl Journal {
-    pub fn note(&self, step: impl Into<String>) {
+    pub fn record(&self, step: impl Into<String>) {
         let line = (Instant::now(), step.into());
         self.steps.lock().unwrap().push(line);
     }
 
     fn ms(&self, at: Instant) -> f64 {
-        at.saturating_duration_since(self.began).as_secs_f64() * 1e3
+        at.saturating_duration_since(self.started).as_secs_f64() * 1e3
     }
 
-    /// The timeline around the request that shows the first violation; empty if there is none. `told` returns what a
+    /// The timeline around the request that shows the first violation; empty if there is none. `entries` returns what a
     /// request's caller and its targets saw of it.
     pub fn around_first(
         &self,
         logs: &Path,
-        broken: &[Broken],
-        told: impl Fn(Option<&str>) -> Vec<(Instant, String)>,
+        violations: &[Violation],
+        entries: impl Fn(Option<&str>) -> Vec<(Instant, String)>,
     ) -> String {
-        broken.first().map_or(String::new(), |first| {
+        violations.first().map_or(String::new(), |first| {
             let id = first.id.as_deref();
-            self.print(logs, id, told(id))
+            self.print(logs, id, entries(id))
         })
     }
 
-    /// The timeline around a request, or of all steps if `id` is `None`. `told` is what its caller and its targets saw of
-    /// it.
-    fn print(&self, logs: &Path, id: Option<&str>, told: Vec<(Instant, String)>) -> String {
-        let first = told.iter().map(|(at, _)| self.ms(*at)).reduce(f64::min);
-        let last = told.iter().map(|(at, _)| self.ms(*at)).reduce(f64::max);
+    /// The timeline around a request, or of all steps if `id` is `None`. `entries` is what its caller and its targets
+    /// saw of it.
+    fn print(&self, logs: &Path, id: Option<&str>, entries: Vec<(Instant, String)>) -> String {
+        let first = entries.iter().map(|(at, _)| self.ms(*at)).reduce(f64::min);
+        let last = entries.iter().map(|(at, _)| self.ms(*at)).reduce(f64::max);
         let window = match (first, last) {
-            (Some(first), Some(last)) => (first - AROUND)..(last + AROUND),
+            (Some(first), Some(last)) => (first - CONTEXT_MS)..(last + CONTEXT_MS),
             _ => 0.0..f64::INFINITY,
         };
         let mut lines: Vec<(f64, String)> = Vec::new();
@@ -92,7 +92,7 @@
         }
         lines.extend(self.logged(logs, id));
         lines.retain(|(at, _)| window.contains(at));
-        lines.extend(told.into_iter().map(|(at, line)| (self.ms(at), line)));
+        lines.extend(entries.into_iter().map(|(at, line)| (self.ms(at), line)));
         lines.sort_by(|a, b| a.0.total_cmp(&b.0));
         let mut text = String::new();
         for (at, line) in lines.iter().take(LINES_MAX) {
@@ -133,6 +133,6 @@
         let mut parts = time.trim_end_matches('Z').split(':');
         let mut next = || parts.next()?.parse::<f64>().ok();
         let at = ((next()? * 60.0 + next()?) * 60.0 + next()?) * 1e3;
-        Some((at - self.began_at).rem_euclid(DAY_MS))
+        Some((at - self.started_at).rem_euclid(DAY_MS))
     }
 }
