--- a/tests/soak/line.rs
+++ b/tests/soak/line.rs
@@ -1,5 +1,5 @@
-//! One connection of a caller. Unlike the one of the gateway it tells how far a request and its answer
-//! came, and sends a body in pieces.
+//! A caller's HTTP connection. Unlike the gateway's own client it records how far a request and its response got, and
+//! can send a body in pieces.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, OnceLock};
@@ -16,36 +16,36 @@
 use crate::deployment::Ask;
 use crate::deployment::server::Body;
 
-/// Longest wait for a connection: what callers of the platform give a new one.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Connect timeout of the platform's callers.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How far a request and its answer came.
+/// How far a request and its response got.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// When its last byte was handed to the connection.
+    /// When the last byte of the request was handed to the connection.
     pub sent: Arc<OnceLock<Instant>>,
-    /// Status and headers of the answer.
+    /// Status and headers of the response.
     pub head: Option<(u16, HeaderMap)>,
     pub body: Vec<u8>,
     pub end: End,
-    /// Whether a connection without an answer ended in order, as it does where nothing of what was sent is
-    /// left unread, and not by a reset.
-    pub in_order: bool,
+    /// Whether a connection without a response was closed and not reset. A close resets the connection if sent data was
+    /// left unread.
+    pub was_closed_cleanly: bool,
 }
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum End {
-    /// Not yet, and its caller stopped waiting.
+    /// It had not ended when its caller stopped waiting.
     #[default]
     Open,
-    /// Nothing of it was sent.
+    /// Nothing was sent.
     Unsent,
-    /// The connection ended before the head of an answer.
+    /// The connection ended before the head of a response.
     Closed,
-    /// The answer broke off.
+    /// The response was cut off.
     Cut,
-    /// The answer is whole.
+    /// The response is complete.
     Whole,
 }
 
@@ -61,70 +61,73 @@
 }
 
 impl Progress {
-    /// What a caller saw of a try, for the timeline.
-    pub fn told(
+    /// The timeline entries of an attempt, as its caller saw it.
+    pub fn timeline(
         &self,
         id: &str,
         begun: Instant,
-        begins: String,
+        begin_entry: String,
         ended: Instant,
-        left: bool,
+        was_abandoned: bool,
     ) -> Vec<(Instant, String)> {
-        let mut told = vec![(begun, begins)];
+        let mut timeline = vec![(begun, begin_entry)];
         if let Some(sent) = self.sent.get() {
-            told.push((*sent, format!("caller  {id} has sent all")));
+            timeline.push((*sent, format!("caller  {id} has sent the whole request")));
         }
-        let ends = format!(
+        let end_entry = format!(
             "caller  {id} ends: {:?}, status {:?}, {} bytes{}",
             self.end,
             self.status(),
             self.body.len(),
-            if left { ", left" } else { "" }
+            if was_abandoned { ", abandoned" } else { "" }
         );
-        told.push((ended, ends));
-        told
+        timeline.push((ended, end_entry));
+        timeline
     }
 }
 
-/// Sizes of the pieces of a body, and the pause before each.
+/// The size of the pieces of a body, and the pause before each.
 #[derive(Clone, Debug)]
 pub struct Pieces {
     pub size: usize,
     pub pause: Duration,
 }
 
-/// How a caller reads.
+/// How a caller reads responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reading {
     AtOnce,
-    /// It takes little at a time, and begins so long after the head of an answer.
+    /// With a small receive buffer, and only after this pause from the head of a response on.
     Slowly(Duration),
 }
 
-/// What the system keeps for a caller that reads slowly, in bytes: less than a long answer.
+/// Receive buffer of a caller that reads slowly, in bytes: smaller than a long response.
 const SLOW_BUFFER: u32 = 16 << 10;
 
-pub struct Line {
+pub struct Connection {
     sender: SendRequest<Body>,
     pub address: SocketAddr,
-    /// When the connection was there.
+    /// When the connection was established.
     pub opened: Instant,
     /// Requests that were sent on it.
-    pub asked: u32,
+    pub request_count: u32,
     reading: Reading,
 }
 
-impl Line {
+impl Connection {
     pub async fn open(address: SocketAddr, reading: Reading) -> Option<Self> {
         let socket = TcpSocket::new_v4().ok()?;
         if reading != Reading::AtOnce {
             socket.set_recv_buffer_size(SLOW_BUFFER).ok()?;
         }
         let connect = socket.connect(address);
-        let stream = tokio::time::timeout(CONNECT, connect).await.ok()?.ok()?;
+        let stream = tokio::time::timeout(CONNECT_TIMEOUT, connect)
+            .await
+            .ok()?
+            .ok()?;
         stream.set_nodelay(true).ok()?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await.ok()?;
-        // Its errors show where an answer is waited for.
+        // Errors of the connection surface in the request that waits on it.
         tokio::spawn(async move {
             let _ = connection.await;
         });
@@ -132,7 +135,7 @@
             sender,
             address,
             opened: Instant::now(),
-            asked: 0,
+            request_count: 0,
             reading,
         })
     }
@@ -141,9 +144,9 @@
         self.sender.is_ready()
     }
 
-    /// Sends a request and reads its answer, as far as either comes.
-    pub async fn ask(&mut self, ask: &Ask, pieces: Option<&Pieces>, progress: &mut Progress) {
-        self.asked += 1;
+    /// Sends a request and reads its response, as far as either gets.
+    pub async fn send(&mut self, ask: &Ask, pieces: Option<&Pieces>, progress: &mut Progress) {
+        self.request_count += 1;
         let body = body(&ask.body, pieces, &progress.sent);
         let mut request = http::Request::new(body);
         *request.method_mut() = ask.method.clone();
@@ -153,7 +156,7 @@
             Ok(response) => response,
             Err(mut error) => {
                 let was_not_sent = error.take_message().is_some();
-                progress.in_order = error.error().is_incomplete_message();
+                progress.was_closed_cleanly = error.error().is_incomplete_message();
                 progress.end = if was_not_sent {
                     End::Unsent
                 } else {
@@ -178,7 +181,7 @@
             }
         }
         progress.end = End::Whole;
-        // It can be used again once its connection has seen the end of the answer.
+        // The connection can be reused only after it has processed the end of the response.
         let _ = self.sender.ready().await;
     }
 }
--- a/tests/soak/promise.rs
+++ b/tests/soak/promise.rs
@@ -1,57 +1,56 @@
-//! The promises, each checked from what callers and targets have seen. docs/PROOFS.md names the rule
-//! behind each.
+//! Checks each promise against what callers and targets have seen. docs/PROOFS.md names the rule behind each.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-use crate::caller::{Call, FORGED, ORDERS, Route};
+use crate::caller::{CONTROL_HEADERS, Call, FORGED_VALUE, Route};
 use crate::deployment::runner::{Arrival, Work};
 use crate::line::End;
 use crate::plan::Owner;
-use crate::run::FOREIGN;
-use crate::said::Spoken;
+use crate::run::FOREIGN_PREFIX;
+use crate::said::NoticePeriod;
 
-/// How long a whole request may stay unread before its connection is closed. A process reads what has
-/// arrived within milliseconds; a loaded machine may hold it up for many times that.
+/// How long a request that was sent completely may stay unread before its connection is closed. A process reads what
+/// has arrived within milliseconds; a loaded machine may delay it many times longer.
 pub const UNREAD_MAX: Duration = Duration::from_secs(2);
-/// How long a target may get requests after the store has taken that it leaves, and a key may be served
-/// after the store has taken that it is revoked. Both are read at most each half a second; this is six
-/// times as much, for a loaded machine.
+/// How long after the store has accepted the change a leaving target may still get requests, and a revoked key may
+/// still be served. Gateways read both every half second; this is six times as long, for a loaded machine.
 pub const IN_FORCE_MAX: Duration = Duration::from_secs(3);
 
-/// A promise that was broken.
+/// A broken promise.
 #[derive(Clone, Debug)]
-pub struct Broken {
+pub struct Violation {
     pub promise: &'static str,
     /// The request that shows it.
     pub id: Option<String>,
     pub what: String,
 }
 
-/// What a run has shown.
+/// What callers, targets and steps of a run have recorded.
 #[derive(Default)]
-pub struct Seen {
+pub struct Observations {
     pub calls: Vec<Call>,
     pub arrivals: Vec<Arrival>,
-    /// Instances that have left, and when the store took it.
+    /// Instances that have left, and when the store accepted it.
     pub departures: Vec<(String, Instant)>,
-    /// Targets that said something of themselves.
-    pub spoken: Vec<Spoken>,
-    /// When the store took that the key of [`Owner::Revoked`] is gone.
+    /// Notices that targets sent about themselves.
+    pub notices: Vec<NoticePeriod>,
+    /// When the store accepted that the key of [`Owner::Revoked`] is revoked.
     pub revoked: Option<Instant>,
-    /// Gateways that were started again, and when.
+    /// Gateways that were restarted, and when.
     pub restarts: Vec<(SocketAddr, Instant)>,
-    /// From when until when a gateway was killed, frozen, or on its way back from either.
+    /// Periods in which a gateway was killed, frozen, or recovering from either.
     pub disturbed: Vec<(SocketAddr, Instant, Instant)>,
-    /// From when until when the store misbehaved or a gateway was frozen: bounds by time wait for it.
+    /// Periods in which the store was faulty or a gateway was frozen; time bounds do not apply then.
     pub unstable: Vec<(Instant, Instant)>,
-    /// Whether anything but planned work happened.
+    /// Whether the run has faults besides planned operations.
     pub has_faults: bool,
 }
 
-/// Tokens that a customer has got: those of each prompt once, and those handed out.
+/// Tokens that a customer has used: those of each prompt once, and all that targets handed out. Requests in `unseen`
+/// are left out.
 pub fn spent(arrivals: &[Arrival], owner: Owner, unseen: &HashSet<String>) -> u64 {
     let mut prompts: HashMap<&str, u64> = HashMap::new();
     let mut handed_out = 0;
@@ -68,15 +67,15 @@
     prompts.values().sum::<u64>() + handed_out
 }
 
-impl Seen {
-    /// All promises that were broken.
-    pub fn broken(&self) -> Vec<Broken> {
+impl Observations {
+    /// Returns all violations.
+    pub fn violations(&self) -> Vec<Violation> {
         let mut runs: HashMap<&str, Vec<&Arrival>> = HashMap::new();
         for arrival in self.arrivals.iter().filter(|arrival| arrival.ran) {
             let id = arrival.header("x-attempt-id");
             runs.entry(id).or_default().push(arrival);
         }
-        let mut broken = Vec::new();
+        let mut violations = Vec::new();
         for call in &self.calls {
             let runs = runs.remove(call.id.as_str()).unwrap_or_default();
             let checks = [
@@ -89,32 +88,32 @@
                 self.allowed(call, &runs),
             ];
             let found = checks.into_iter().flatten();
-            broken.extend(found.map(|(promise, what)| Broken {
+            violations.extend(found.map(|(promise, what)| Violation {
                 promise,
                 id: Some(call.id.clone()),
                 what,
             }));
         }
         for id in runs.keys() {
-            broken.push(Broken {
+            violations.push(Violation {
                 promise: "UNASKED",
                 id: Some((*id).to_owned()),
-                what: "ran, and no caller has sent it".to_owned(),
+                what: "ran, but no caller has sent it".to_owned(),
             });
         }
-        broken.extend(self.left_alone());
-        let spoken = self.spoken.iter();
-        broken.extend(spoken.filter_map(|one| one.broken(self)));
-        broken
+        violations.extend(self.departed_unused());
+        let notices = self.notices.iter();
+        violations.extend(notices.filter_map(|period| period.first_violation(self)));
+        violations
     }
 
     /// What callers and targets saw of a request, for the timeline.
-    pub fn told(&self, id: Option<&str>) -> Vec<(Instant, String)> {
+    pub fn timeline(&self, id: Option<&str>) -> Vec<(Instant, String)> {
         let calls = self
             .calls
             .iter()
             .filter(|call| Some(call.id.as_str()) == id);
-        let mut told: Vec<_> = calls.flat_map(Call::told).collect();
+        let mut entries: Vec<_> = calls.flat_map(Call::timeline).collect();
         for arrival in &self.arrivals {
             if Some(arrival.header("x-attempt-id")) == id {
                 let got = format!(
@@ -123,17 +122,17 @@
                     arrival.ran,
                     arrival.header("x-tenant")
                 );
-                told.push((arrival.at, got));
+                entries.push((arrival.at, got));
             }
         }
-        told
+        entries
     }
 
-    /// Whether what the store took at one moment is in force at another one.
+    /// Whether gateways must have applied by `now` what the store accepted at `taken`.
     fn is_in_force(&self, taken: Instant, now: Instant) -> bool {
         let since = now.checked_sub(IN_FORCE_MAX);
         let is_stable = |(from, to): &(Instant, Instant)| {
-            // Within the bound before, the store was stable and no gateway frozen.
+            // The store was healthy and no gateway frozen during the whole bound before `now`.
             since.is_some_and(|since| *to < since) || *from > now
         };
         since.is_some_and(|since| taken < since) && self.unstable.iter().all(is_stable)
@@ -146,9 +145,9 @@
         })
     }
 
-    /// LOST: each whole request that is read ends in a whole answer or a refusal.
+    /// LOST: each request that was read completely ends in a complete response or a refusal.
     fn answered(&self, call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
-        if call.left || self.was_disturbed(call) {
+        if call.was_abandoned || self.was_disturbed(call) {
             return None;
         }
         let ran = runs.first().map(|run| run.instance.as_str());
@@ -161,63 +160,63 @@
                 "closed long after it was sent".to_owned()
             }
             (End::Open, _) => "neither answered nor refused".to_owned(),
-            // With faults, a target may break off what was passed on already.
-            (End::Cut, _) if !self.has_faults => "its answer broke off".to_owned(),
+            // With faults, a target may cut off a response of which a part was passed on already.
+            (End::Cut, _) if !self.has_faults => "its response was cut off".to_owned(),
             _ => return None,
         };
         Some(("LOST", what))
     }
 
-    /// DENIED and ROUTE: a key is served while it is valid, and not after.
+    /// DENIED and ROUTE: a key is served while it is valid, and not afterwards.
     fn allowed(&self, call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
         let revoked = self.revoked.filter(|_| call.owner == Owner::Revoked);
         let is_over = revoked.is_some_and(|at| self.is_in_force(at, call.begun));
         if is_over && !self.was_disturbed(call) && !runs.is_empty() {
-            return Some(("ROUTE", "ran with a key that was taken away".to_owned()));
+            return Some(("ROUTE", "ran with a revoked key".to_owned()));
         }
         let is_valid = revoked.is_none_or(|at| call.ended < at);
         match call.progress.status() {
             Some(status @ 400..=404) if status != 402 && is_valid => {
-                Some(("DENIED", format!("{status} for a proper request")))
+                Some(("DENIED", format!("{status} for a valid request")))
             }
             Some(402) if call.owner != Owner::Scarce => {
-                Some(("DENIED", "402 with plenty of tokens".to_owned()))
+                Some(("DENIED", "402 despite enough tokens".to_owned()))
             }
             _ => None,
         }
     }
 
-    /// DRAIN: no request reaches a target that has left for long.
-    fn left_alone(&self) -> Vec<Broken> {
-        let mut broken = Vec::new();
+    /// DRAIN: no request runs at a target that left longer ago than [`IN_FORCE_MAX`].
+    fn departed_unused(&self) -> Vec<Violation> {
+        let mut violations = Vec::new();
         for (instance, left) in &self.departures {
             let late = self.arrivals.iter().filter(|arrival| {
                 arrival.instance == *instance && arrival.ran && self.is_in_force(*left, arrival.at)
             });
-            broken.extend(late.map(|arrival| Broken {
+            violations.extend(late.map(|arrival| Violation {
                 promise: "DRAIN",
                 id: Some(arrival.header("x-attempt-id").to_owned()),
                 what: format!("reached {instance} {:?} after it left", arrival.at - *left),
             }));
         }
-        broken
+        violations
     }
 }
 
-/// TWICE: nothing that may not be repeated runs twice.
+/// TWICE: a request that may not be repeated runs at most once.
 fn once(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let is_twice = !call.route.may_repeat() && runs.len() > 1;
     is_twice.then(|| ("TWICE", format!("ran {} times", runs.len())))
 }
 
-/// REFUSED: what is refused as not run has not run by the end of the run.
+/// REFUSED: a request that was refused as not executed has not run by the end of the test run.
 fn refused(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let status = call.progress.status()?;
     let is_promise = matches!(status, 408 | 421 | 429 | 503);
-    (is_promise && !runs.is_empty()).then(|| ("REFUSED", format!("{status}, and it has run")))
+    (is_promise && !runs.is_empty()).then(|| ("REFUSED", format!("{status}, but it has run")))
 }
 
-/// MIXED and ORDER: an answer is its request's own and whole, or shows that it is not.
+/// MIXED and ORDER: a response belongs to its request, and is complete or visibly cut off.
 fn own_answer(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let progress = &call.progress;
     if progress.status()? != 200 {
@@ -227,7 +226,7 @@
     if progress.header("x-server-seal") != Some(&seal)
         || progress.header("x-attempt-id") != Some(&call.id)
     {
-        return Some(("MIXED", "another's seal or id".to_owned()));
+        return Some(("MIXED", "seal or id of another request".to_owned()));
     }
     let body = String::from_utf8_lossy(&progress.body);
     if call.route.is_stream() {
@@ -238,7 +237,7 @@
             End::Whole => body == whole,
             _ => whole.starts_with(&*body),
         };
-        let what = || format!("events do not fit: {} of {} bytes", body.len(), whole.len());
+        let what = || format!("unexpected events: {} of {} bytes", body.len(), whole.len());
         return (!fits).then(|| ("ORDER", what()));
     }
     let fits = runs.iter().any(|run| {
@@ -248,10 +247,10 @@
             _ => whole.starts_with(&*body),
         }
     });
-    (!fits).then(|| ("MIXED", format!("another body: {} bytes", body.len())))
+    (!fits).then(|| ("MIXED", format!("unexpected body: {} bytes", body.len())))
 }
 
-/// UNASKED: what runs is what was sent, for the customer that holds the key.
+/// UNASKED: a request runs as it was sent, for the customer that holds the key.
 fn unchanged(call: &Call, runs: &[&Arrival]) -> Option<(&'static str, String)> {
     let differs = |run: &&&Arrival| {
         let same = |name| run.headers.get(name) == call.ask.headers.get(name);
@@ -259,7 +258,9 @@
             || run.path != call.ask.path
             || run.body != call.ask.body
             || run.header("x-tenant") != call.owner.name()
-            || ORDERS.iter().any(|name| run.header(name) == FORGED)
+            || CONTROL_HEADERS
+                .iter()
+                .any(|name| run.header(name) == FORGED_VALUE)
             || !["x-model", "x-token-count", "x-prompt-prefix"]
                 .into_iter()
                 .all(same)
@@ -268,28 +269,34 @@
     Some(("UNASKED", format!("changed on its way to {}", run.instance)))
 }
 
-/// ROUTE: nothing runs at a service that its route does not name.
+/// ROUTE: no request runs at a service that its route does not name.
 fn own_service(runs: &[&Arrival]) -> Option<(&'static str, String)> {
-    let run = runs.iter().find(|run| run.instance.starts_with(FOREIGN))?;
+    let run = runs
+        .iter()
+        .find(|run| run.instance.starts_with(FOREIGN_PREFIX))?;
     Some((
         "ROUTE",
         format!("ran at {}, of another service", run.instance),
     ))
 }
 
-/// What the calls of a run ended in, for its summary.
+/// Counts the calls of a run by their outcome, for its summary.
 pub fn tally(calls: &[Call]) -> std::collections::BTreeMap<String, u32> {
     let mut tally = std::collections::BTreeMap::new();
     for call in calls {
-        let word = match (call.left, call.progress.end, call.progress.status()) {
-            (true, ..) => "left".to_owned(),
+        let outcome = match (
+            call.was_abandoned,
+            call.progress.end,
+            call.progress.status(),
+        ) {
+            (true, ..) => "abandoned".to_owned(),
             (_, End::Whole, Some(status)) => status.to_string(),
             (_, end, _) => format!("{end:?}").to_lowercase(),
         };
-        *tally.entry(word).or_default() += 1;
+        *tally.entry(outcome).or_default() += 1;
     }
     tally
 }
 
-/// Routes on which a deployment that is whole again answers.
-pub const WHOLE: [Route; 4] = Route::ALL;
+/// Routes on which a recovered deployment must answer.
+pub const RECOVERY_ROUTES: [Route; 4] = Route::ALL;
