--- a/src/gateway/dialect.rs
+++ b/src/gateway/dialect.rs
@@ -1,7 +1,8 @@
-//! What a deployment's callers, targets and operators say, as types of ours.
+//! The interface between a gateway and the wire format of a deployment.
 //!
-//! A deployment's adapter implements [`Dialect`]: it decodes headers, paths and records into the
-//! types here and encodes ours. It owns no state, decides nothing and retries nothing.
+//! A deployment's adapter implements [`Dialect`]: it decodes the headers, paths and records of callers, targets and
+//! operators into the types of this module, and encodes these types. It holds no state, makes no decisions and retries
+//! nothing.
 
 use std::net::SocketAddr;
 
@@ -14,30 +15,30 @@
 use super::route::Config;
 use crate::units::{Millis, Tokens};
 
-/// A block of a prompt that other prompts may share.
+/// A block of a prompt that other prompts may contain as well.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Block {
-    /// Equal blocks have equal ids.
+    /// Identifies the content: equal blocks have equal ids.
     pub id: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: Tokens,
 }
 
 /// The prompt of a model request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// The model.
+    /// Name of the model.
     pub model: String,
     /// Length of the prompt in tokens.
     pub tokens: Tokens,
-    /// Longest answer, in tokens.
+    /// Maximum length of the answer in tokens.
     pub max_tokens: Tokens,
-    /// The prompt's blocks in order; the last belongs to this request alone.
+    /// The prompt's blocks in order. The last one is unique to this request.
     pub blocks: Vec<Block>,
 }
 
 impl Prompt {
-    /// The blocks that other prompts may have in common with this one.
+    /// The blocks that other prompts may share with this one.
     pub fn shared_blocks(&self) -> &[Block] {
         match self.blocks.split_last() {
             Some((_, shared)) => shared,
@@ -45,147 +46,146 @@
         }
     }
 
-    /// The most tokens that a request with this prompt can use.
+    /// Maximum number of tokens that a request with this prompt can use.
     pub fn max_cost(&self) -> Tokens {
         self.tokens + self.max_tokens
     }
 }
 
-/// A caller's request, as far as its headers describe it.
+/// What the headers of a caller's request contain.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
-    /// The id that the caller gave it.
+    /// The id that the caller assigned.
     pub id: String,
     /// How long the caller waits for the answer.
     pub time_limit: Option<Millis>,
-    /// The customer's secret key.
+    /// The customer's API key.
     pub key: Option<String>,
-    /// Set for a model request.
+    /// The prompt of a model request; `None` for other requests.
     pub prompt: Option<Prompt>,
-    /// Id of the last event that the caller has of a stream that it resumes.
+    /// Id of the last event that the caller received of the stream that it resumes.
     pub last_event: Option<String>,
-    /// Whether its caller has set headers by which only routers order something of a target; they are not
-    /// passed on.
+    /// Whether the caller set headers by which only routers may instruct a target. These are not forwarded.
     pub has_orders: bool,
 }
 
-/// A header that cannot be read.
+/// A header that cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{header}: wanted is {wanted}"))]
 pub struct BadHeader {
-    /// Its name.
+    /// The header's name.
     pub header: &'static str,
-    /// What it has to hold.
+    /// The kind of value that is expected.
     pub wanted: &'static str,
 }
 
-/// What a target is told beside the caller's own headers.
+/// What a gateway adds to the caller's own headers when it forwards a request to a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Forward<'a> {
-    /// Time that is left for the answer.
+    /// Time that remains for the answer.
     pub time_limit: Millis,
-    /// The instance that is meant; another one at the same address has to refuse.
+    /// The instance that the request is meant for. Another instance at the same address must refuse it.
     pub instance: &'a str,
-    /// The customer that pays.
+    /// The customer that is charged.
     pub customer: Option<&'a str>,
-    /// Rank in the target's queue; 0 goes first.
+    /// Rank in the target's queue; the lowest rank, 0, is served first.
     pub rank: Option<u8>,
-    /// Id of the last event that the caller has, where a stream is resumed.
+    /// Id of the last event that the caller received, if a stream is resumed.
     pub last_event: Option<&'a str>,
 }
 
-/// A request that cannot be written for a target.
+/// A value that cannot be encoded as a header for a target.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{header}: {value:?} is no header value"))]
 pub struct BadForward {
     /// The header's name.
     pub header: &'static str,
-    /// The value that it should have.
+    /// The value.
     pub value: String,
 }
 
-/// A target's load by its own count.
+/// A target's load, as the target reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
 }
 
-/// What the head of a target's answer says.
+/// What the head of a target's answer contains.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// Id of the request that it answers.
+    /// Id of the request that is answered.
     pub id: Option<String>,
-    /// Whether the target says that it has not run the request and never will.
+    /// Whether the target states that it has not run the request and never will.
     pub not_run: bool,
-    /// Whether a target has signed it, so that it is not some other server's answer.
+    /// Whether the answer bears a target's signature, so that it is not from some other server.
     pub is_signed: bool,
-    /// Whether another instance than the one meant has the address.
+    /// Whether the address belongs to another instance than the request was meant for.
     pub wrong_instance: bool,
     /// The target's load.
     pub load: Option<Load>,
-    /// How long the target keeps an idle connection.
+    /// How long the target keeps an idle connection open.
     pub idle_timeout: Option<Millis>,
-    /// What else the target says of itself.
+    /// What else the target reports about itself.
     pub notice: Notice,
 }
 
-/// A target's entry in the list of targets.
+/// A target in the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
-    /// One run of the target's process, as [`incarnation`](super::incarnation) names it; a restart has another.
+    /// One run of the target's process, named as in [`incarnation`](super::incarnation). It changes at a restart.
     pub instance: String,
-    /// The service that it belongs to.
+    /// The service that the target belongs to.
     pub service: String,
-    /// Where it listens.
+    /// The address that the target listens on.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// The target's data hall.
     pub hall: String,
-    /// Requests that it runs at once.
+    /// Maximum number of requests that the target runs at the same time.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the target accepts new requests.
     pub is_ready: bool,
 }
 
-/// What a target's entry says.
+/// A decoded entry of the list of targets.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Entry {
-    /// What the target is.
+    /// The target.
     pub listing: Listing,
-    /// How much longer it is cold, from when it wrote the entry.
+    /// How much longer the target is cold, counted from when it wrote the entry.
     pub cold_left: Millis,
 }
 
-/// What an operator's record is about.
+/// The subject of an operator's record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Subject<'a> {
-    /// The configuration, whole.
+    /// The complete configuration.
     Config,
-    /// A hall that is emptied while the record is there, whatever it holds.
+    /// A hall that is evacuated as long as the record exists, whatever its value is.
     Evacuation {
         /// The hall.
         hall: &'a str,
     },
 }
 
-/// A record of the deployment that cannot be read.
+/// A record of the deployment that cannot be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum BadRecord {
-    /// It is not JSON of the wanted shape.
+    /// The record is not JSON, or does not have the expected fields.
     #[snafu(display("{source}"))]
     Json {
-        /// Where and why.
+        /// The parser's error, with its position.
         source: serde_json::Error,
     },
-    /// A route's kind is not one that is known.
+    /// A route has an unknown kind.
     #[snafu(display("route {route}: unknown kind {kind:?}"))]
     Kind {
         /// The route's name.
         route: String,
-        /// The kind that it has.
+        /// The unknown kind.
         kind: String,
     },
     /// A route names no service.
@@ -196,50 +196,50 @@
     },
 }
 
-/// Why an entry in the list of targets names no target to use.
+/// Why an entry of the list of targets cannot be used.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum BadEntry {
-    /// It is no JSON object.
+    /// The entry is not a JSON object.
     #[snafu(display("unreadable: {source}"))]
     Unreadable {
-        /// Where and why.
+        /// The parser's error, with its position.
         source: serde_json::Error,
     },
     /// A field is missing.
     #[snafu(display("{field} is missing"))]
     Missing {
-        /// The field.
+        /// The field's name.
         field: &'static str,
     },
-    /// A field is of another type, or out of its range.
+    /// A field has the wrong type or is out of range.
     #[snafu(display("{field} is no {wanted}"))]
     Type {
-        /// The field.
+        /// The field's name.
         field: &'static str,
-        /// What it has to hold.
+        /// The kind of value that is expected.
         wanted: &'static str,
     },
-    /// Its state is not one that is known.
+    /// The target's state is unknown.
     #[snafu(display("unknown state {state:?}"))]
     State {
-        /// The state that it has.
+        /// The unknown state.
         state: String,
     },
-    /// It belongs to a service without a name.
-    #[snafu(display("no service is named"))]
+    /// The name of the service is empty.
+    #[snafu(display("the service name is empty"))]
     Service,
-    /// The id that it stands under cannot be one of a target.
-    #[snafu(display("no id of a target"))]
+    /// The entry's key is not a valid target id.
+    #[snafu(display("the key is not a valid target id"))]
     Id,
 }
 
 impl BadEntry {
-    /// Words for each cause, in the order of [`cause`](Self::cause).
+    /// Metric labels of the causes, indexed by [`cause`](Self::cause).
     pub const CAUSES: [&'static str; 6] =
         ["unreadable", "missing", "type", "state", "service", "id"];
 
-    /// The cause's place among [`CAUSES`](Self::CAUSES).
+    /// Index of the cause in [`CAUSES`](Self::CAUSES).
     pub fn cause(&self) -> usize {
         match self {
             Self::Unreadable { .. } => 0,
@@ -252,18 +252,18 @@
     }
 }
 
-/// Translates between a deployment's wire and the types of this module.
+/// Translates between a deployment's wire format and the types of this module.
 pub trait Dialect: Send + Sync {
     /// Decodes a caller's headers.
     ///
     /// # Errors
-    /// The first header that cannot be read.
+    /// The first header that cannot be parsed.
     fn read_request(&self, headers: &HeaderMap) -> Result<Request, BadHeader>;
 
-    /// Turns a caller's headers into those for a target.
+    /// Turns a caller's headers into those of the request to a target.
     ///
     /// # Errors
-    /// A value that does not fit in a header; the request must not be sent without it.
+    /// A value that is not a valid header value. The request must not be sent without it.
     fn write_forward(
         &self,
         headers: &mut HeaderMap,
@@ -273,30 +273,30 @@
     /// Decodes the head of a target's answer.
     fn read_reply(&self, status: u16, headers: &HeaderMap) -> Reply;
 
-    /// What an operator's record under this key is about; `None` where it is of no use here.
+    /// The subject of the operator's record with this key; `None` if the gateway does not use it.
     fn subject<'a>(&self, key: &'a str) -> Option<Subject<'a>>;
 
     /// Decodes a configuration.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Why the record is invalid.
     fn read_config(&self, bytes: &[u8]) -> Result<Config, BadRecord>;
 
-    /// Decodes a target's entry, which stands under `key`.
+    /// Decodes the entry of a target, stored under `key`.
     ///
     /// # Errors
-    /// What is wrong with it.
+    /// Why the entry cannot be used.
     fn read_listing(&self, key: &str, bytes: &[u8]) -> Result<Entry, BadEntry>;
 
-    /// Whether a request asks if this router is ready.
+    /// Whether a request is a readiness check.
     fn is_ready_check(&self, uri: &Uri) -> bool;
 
-    /// The caller's hall, if a request asks which addresses callers should use.
+    /// The caller's hall, if a request is an address query: it asks which addresses callers should use.
     fn address_query(&self, uri: &Uri) -> Option<String>;
 
-    /// Encodes the answer to such a question, which callers may use for `time_to_live`.
+    /// Encodes the answer to an address query, which callers may cache for `time_to_live`.
     fn write_addresses(&self, addresses: &[SocketAddr], time_to_live: Millis) -> Bytes;
 
-    /// Encodes the body and the headers of a refusal.
+    /// Encodes a refusal as a body and headers.
     fn write_refusal(&self, id: &str, reason: &str) -> (Bytes, HeaderMap);
 }
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -1,9 +1,10 @@
-//! Which halls the operators have emptied: nothing more is sent to the targets there until they are taken back.
+//! Halls that the operators have evacuated: their targets get no requests until the evacuation is revoked.
 //!
-//! The operators' records are in the store, beside the configuration, one for each hall. A router that reads them
-//! knows them all as of one place in that log, so of two views the one of the later place holds. Routers that the
-//! store does not answer take the view of one that it does. A view outlives outages of the store and records that
-//! the log has dropped; a process that starts knows none, and serves nobody until it has one.
+//! The operators' records are in the store, next to the configuration, one for each hall. A router that reads them
+//! knows all of them as of one position in that log, so of two views the one with the later position is valid. Routers
+//! that the store does not answer use the view of a router that it does answer. A view persists through outages of the
+//! store and after the log has dropped records. A process that starts has no view, and serves no requests until it has
+//! one.
 
 use std::collections::BTreeSet;
 
@@ -12,27 +13,27 @@
 use crate::store::Place;
 use crate::units::Millis;
 
-/// The halls that are emptied, as of one place in the operators' log. It is encoded for other processes, so the
-/// order of fields is part of its form.
+/// The evacuated halls as of one position in the operators' log. It is encoded by position for other processes, so the
+/// order of its fields must not change.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
-    /// All records before this place are taken in.
+    /// All records before this position have been applied.
     pub as_of: Place,
-    /// The halls.
+    /// Names of the evacuated halls.
     pub halls: BTreeSet<String>,
 }
 
-/// What an operators' record says of a hall.
+/// What an operator's record instructs for a hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Order {
-    /// It is emptied.
+    /// The hall is evacuated.
     Evacuate,
-    /// It is taken back.
+    /// The evacuation is revoked, so the hall is used again.
     TakeBack,
 }
 
 impl View {
-    /// Takes in a record of a hall.
+    /// Applies an operator's record for a hall.
     pub fn set(&mut self, hall: &str, order: Order) {
         match order {
             Order::Evacuate => {
@@ -50,8 +51,9 @@
     }
 }
 
-/// Halls that were emptied before the store came back from a copy that has nothing of that. They stay emptied until
-/// operators say something of them again, or for a bounded time: operators may have taken them back in what is lost.
+/// Halls that were evacuated before the store was restored from a copy that lacks their evacuation. They stay evacuated
+/// until operators write a new record for them, or for a limited time: the lost records may have revoked the
+/// evacuation.
 #[derive(Debug, Default)]
 pub struct Kept {
     halls: BTreeSet<String>,
@@ -59,21 +61,21 @@
 }
 
 impl Kept {
-    /// How long they stay emptied without a word of operators, who write again what was lost within seconds.
-    const LONGEST: Millis = Millis(10_000);
+    /// How long they stay evacuated without a new record. Operators rewrite lost records within seconds.
+    const RETENTION: Millis = Millis(10_000);
 
-    /// Notes that the store has come back, and which halls of `before` the copy does not have emptied.
+    /// Records that the store was restored: the halls that were evacuated `before` but not in the `copy` are retained.
     pub fn note_return(&mut self, now: Millis, before: &BTreeSet<String>, copy: &BTreeSet<String>) {
         self.halls = before.difference(copy).cloned().collect();
-        self.until = now + Self::LONGEST;
+        self.until = now + Self::RETENTION;
     }
 
-    /// Notes that operators have said something of a hall.
+    /// Stops retaining a hall for which operators have written a new record.
     pub fn note_word(&mut self, hall: &str) {
         self.halls.remove(hall);
     }
 
-    /// Those that stay emptied.
+    /// The halls that stay evacuated.
     pub fn at(&self, now: Millis) -> impl Iterator<Item = &String> {
         let is_over = now >= self.until;
         self.halls.iter().filter(move |_| !is_over)
--- a/src/gateway/lag.rs
+++ b/src/gateway/lag.rs
@@ -1,7 +1,7 @@
-//! How long work waits for its turn on the traffic thread.
+//! Scheduling delay of the traffic thread: how long a task that is ready waits until it runs.
 //!
-//! A timer that goes off late tells it. The least of some samples counts, since a thread that shares its core is late
-//! now and then; one that has more to do than it can is late each time.
+//! It is measured by how late a timer fires. The minimum of several samples counts, since a thread that shares its core
+//! is late occasionally, while an overloaded one is late every time.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,15 +11,15 @@
 use super::shared::Shared;
 use crate::units::Millis;
 
-/// Interval of samples.
-const INTERVAL: Duration = Duration::from_millis(20);
-/// Samples of which the least counts. A tenth of a second, in which a host that has used up its part of
-/// a core gets the next.
+/// Time between two samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of samples of which the minimum counts. They span a tenth of a second, the period in which a process that has
+/// used up its CPU quota gets the next one.
 const SAMPLES: usize = 5;
-/// Lag that is told in the log, when it begins and when it is over.
-const TOLD: Millis = Millis(25);
+/// Lag whose begin and end are logged.
+const LOGGED_MIN: Millis = Millis(25);
 
-/// The least of the last samples.
+/// The minimum of the last samples.
 #[derive(Debug, Default)]
 pub struct Lag {
     samples: [Millis; SAMPLES],
@@ -27,7 +27,7 @@
 }
 
 impl Lag {
-    /// Takes a sample in, and returns the least of the last ones.
+    /// Adds a sample, and returns the minimum of the last ones.
     pub fn note(&mut self, late: Millis) -> Millis {
         self.samples[self.next] = late;
         self.next = (self.next + 1) % SAMPLES;
@@ -35,22 +35,22 @@
     }
 }
 
-/// Measures until the process ends.
+/// Measures the lag until the process ends.
 pub(super) async fn measure(shared: Arc<Shared>) {
     let mut lag = Lag::default();
-    let mut is_told = false;
+    let mut is_logged = false;
     loop {
-        let due = Instant::now() + INTERVAL;
+        let due = Instant::now() + SAMPLE_INTERVAL;
         sleep_until(due).await;
         let late = due.elapsed().as_millis() as u64;
         let least = lag.note(Millis(late));
         shared.set_lag(least);
-        if (least >= TOLD) != is_told {
-            is_told = !is_told;
+        if (least >= LOGGED_MIN) != is_logged {
+            is_logged = !is_logged;
             tracing::warn!(
                 event = "traffic_behind",
                 lag_ms = least.0,
-                is_behind = is_told
+                is_behind = is_logged
             );
         }
     }
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -1,5 +1,5 @@
-//! The listeners of a gateway, and what each of them answers. It relies on [`serve`](super::serve) for
-//! callers' requests and owns no state.
+//! The HTTP endpoints of a gateway. Callers' requests are passed to [`serve`](super::serve). This module holds no
+//! state.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -23,19 +23,20 @@
 use crate::net::{Accepted, Server, Socket};
 use crate::units::Millis;
 
-/// Smallest buffer for a head and the start of a body, in bytes; the server takes no smaller one.
+/// Minimum size of the read buffer for a request head and the start of a body, in bytes. The HTTP library accepts no
+/// smaller one.
 const BUFFER_MIN: usize = 16 << 10;
 
-/// What one listener serves.
+/// What a listener serves.
 #[derive(Clone)]
 pub enum Endpoint {
     /// Callers' requests.
     Callers(Arc<Relay>),
-    /// Whether this router is ready.
+    /// Readiness checks.
     Ready(Arc<Shared>, Arc<dyn Dialect>),
-    /// Which addresses callers should use, and for how long they may use them.
+    /// Address queries. The time is the TTL of the answers.
     Directory(Arc<Shared>, Arc<dyn Dialect>, Millis),
-    /// Counters; the function tells how many log lines were dropped.
+    /// Metrics. The function returns the number of log lines that were dropped.
     Metrics(Arc<Shared>, fn() -> u64),
 }
 
@@ -48,20 +49,20 @@
         match self {
             Self::Callers(relay) => serve::serve(relay, request, connection).await,
             Self::Ready(shared, dialect) => {
-                let asks = dialect.is_ready_check(request.uri());
-                let status = match (asks, shared.is_ready()) {
+                let is_check = dialect.is_ready_check(request.uri());
+                let status = match (is_check, shared.is_ready()) {
                     (false, _) => StatusCode::NOT_FOUND,
                     (true, true) => StatusCode::OK,
                     (true, false) => StatusCode::SERVICE_UNAVAILABLE,
                 };
-                plain(status, "text/plain", Body::full(""))
+                respond(status, "text/plain", Body::full(""))
             }
             Self::Directory(shared, dialect, time_to_live) => {
                 if dialect.address_query(request.uri()).is_none() {
-                    return plain(StatusCode::NOT_FOUND, "text/plain", Body::full(""));
+                    return respond(StatusCode::NOT_FOUND, "text/plain", Body::full(""));
                 }
                 let body = dialect.write_addresses(&shared.caller_addresses.load(), *time_to_live);
-                plain(StatusCode::OK, "application/json", Body::full(body))
+                respond(StatusCode::OK, "application/json", Body::full(body))
             }
             Self::Metrics(shared, dropped) => {
                 let mut text = shared.metrics.text(dropped());
@@ -71,17 +72,19 @@
                 text.push_str(&notice::text(&shared.said.load(), &shared.notices));
                 let refused = shared.quarantine_refused.get();
                 text.push_str(&quarantine::text(&shared.quarantine.load(), refused));
-                plain(StatusCode::OK, "text/plain", Body::full(text))
+                respond(StatusCode::OK, "text/plain", Body::full(text))
             }
         }
     }
 }
 
-fn plain(status: StatusCode, kind: &'static str, body: Body) -> Response<Body> {
+fn respond(status: StatusCode, content_type: &'static str, body: Body) -> Response<Body> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    let kind = HeaderValue::from_static(kind);
-    response.headers_mut().insert(header::CONTENT_TYPE, kind);
+    let content_type = HeaderValue::from_static(content_type);
+    response
+        .headers_mut()
+        .insert(header::CONTENT_TYPE, content_type);
     response
 }
 
@@ -89,11 +92,11 @@
 pub fn listen(server: &Server, listener: TcpListener, shared: &Arc<Shared>, endpoint: Endpoint) {
     let shared = Arc::clone(shared);
     server.listen(listener, move |socket| {
-        connection(socket, Arc::clone(&shared), endpoint.clone())
+        serve_connection(socket, Arc::clone(&shared), endpoint.clone())
     });
 }
 
-fn connection(
+fn serve_connection(
     socket: Socket,
     shared: Arc<Shared>,
     endpoint: Endpoint,
@@ -102,7 +105,7 @@
     let limits = config
         .as_ref()
         .map(|config| config.limits)
-        // Without a configuration, requests are refused; their heads are bounded all the same.
+        // Without a configuration requests are refused, but the size of their heads is limited all the same.
         .unwrap_or_default();
     let connection = Arc::new(serve::Connection::new(socket.reading()));
     let service = service_fn(move |request| {
@@ -117,7 +120,7 @@
             Ok::<_, Infallible>(response)
         }
     });
-    // The time for a head also runs while a connection is idle, so it is the idle time.
+    // The library's timeout for a head also runs while a connection is idle, so it is set to the idle timeout.
     let idle = Duration::from_millis(limits.idle_time.0);
     http1::Builder::new()
         .timer(TokioTimer::new())
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -1,9 +1,10 @@
-//! The routers of the fleet: who is live, who holds a customer's grants, where callers may connect.
+//! The routers of the fleet: which are live, which hold a customer's grants, and which addresses callers may use.
 //!
-//! A router is live while its heartbeats arrive, by the store or by a link, and its link answers. While the store is
-//! not read, its silence there says nothing: by links alone a router of a large fleet hears from another one each some
-//! ten seconds, and would take most of them for dead, and other routers for the holders of grants. Nothing about
-//! money follows from that; a router that is wrongly taken for dead loses callers only.
+//! A router is live while its heartbeats arrive, through the store or over a link, and its link answers. While the
+//! entries in the store are not read, missing heartbeats do not count: over links alone, a router of a large fleet
+//! hears from each other router only about every ten seconds. It would consider most of them dead, and take other
+//! routers for the holders of grants. The accounting of tokens does not depend on liveness: a router that is wrongly
+//! considered dead only loses callers.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,33 +14,34 @@
 
 use crate::units::Millis;
 
-/// Heartbeats that may be missed before a router counts as dead.
-const MISSED_MAX: u64 = 3;
-/// Heartbeats after which a new router's entry has been read by the others: each reads at every heartbeat of its own.
+/// Consecutive heartbeats that may be missed before a router is considered dead.
+const MISSED_HEARTBEATS_MAX: u64 = 3;
+/// Heartbeat intervals after which all other routers have read a new router's entry: each reads the entries once per
+/// heartbeat of its own.
 const JOIN_HEARTBEATS: u64 = 2;
-/// Silence after which a router no longer takes a place in the order in which a target's requests are dealt out: its
-/// part would stay unused. Longer than any freeze or cut after which it goes on with the place that it had.
-const GONE_AFTER: Millis = Millis(60_000);
-/// Addresses that callers are told at once: more than they try, and within one packet.
+/// Silence after which a router no longer counts when a target's requests are divided among the routers: its share
+/// would stay unused. It exceeds any pause or network partition after which a router continues with its old share.
+const DEPARTED_AFTER: Millis = Millis(60_000);
+/// Maximum number of addresses in an answer to a caller: more than a caller tries, and few enough for one packet.
 const ADDRESSES_MAX: usize = 64;
 
-/// A router's entry in the store. It is encoded for other processes, so the order of fields is part of
-/// its form.
+/// A router's entry in the store. It is encoded by position for other processes, so the order of its fields must not
+/// change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Router {
-    /// Its name; the next process on the same host has the same.
+    /// The router's name. It stays the same when the process restarts on the same host.
     pub name: String,
-    /// One run of its process; a restart has another.
+    /// Identifies one run of the process. It changes at a restart.
     pub incarnation: u64,
-    /// Where callers connect.
+    /// Address for callers.
     pub front: SocketAddr,
-    /// Where other routers connect.
+    /// Address for other routers.
     pub link: SocketAddr,
-    /// Its hall.
+    /// The router's data hall.
     pub hall: String,
-    /// Whether it takes callers.
+    /// Whether the router accepts callers.
     pub is_ready: bool,
-    /// Number of its last heartbeat.
+    /// Sequence number of the last heartbeat.
     pub heartbeat: u64,
 }
 
@@ -47,67 +49,68 @@
 struct Member {
     router: Router,
     last_heartbeat: Millis,
-    /// Whether its link did not answer since.
+    /// Whether its link has failed to answer since the last heartbeat.
     is_unreachable: bool,
 }
 
-/// Where a heartbeat came from.
+/// How a heartbeat arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The store, which has it since some time.
+    /// Read from the store, where it may have been for some time.
     Store,
-    /// The router's own link, just now.
+    /// Received from the router itself over a link.
     Link,
 }
 
-/// Whether the routers' entries in the store are read.
+/// Whether the routers' entries in the store can be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Contact {
-    /// They are not.
+    /// The last read failed.
     Lost,
-    /// They are, since then.
+    /// All reads have succeeded since this time.
     Since(Millis),
 }
 
-/// The routers that are known.
+/// The known routers of the fleet.
 #[derive(Debug)]
 pub struct Members {
     /// This router.
     pub me: Router,
     interval: Millis,
     known: BTreeMap<String, Member>,
-    largest: usize,
+    largest_count: usize,
     contact: Contact,
-    /// Since when this router's entry is in the store.
+    /// When this router's entry was first written to the store.
     written_since: Option<Millis>,
 }
 
 impl Members {
-    /// This router alone, with the interval of heartbeats.
+    /// Creates a view that contains only this router. `interval` is the time between two heartbeats.
     pub fn new(me: Router, interval: Millis) -> Self {
         Self {
             me,
             interval,
             known: BTreeMap::new(),
-            largest: 1,
+            largest_count: 1,
             contact: Contact::Lost,
             written_since: None,
         }
     }
 
-    /// Notes that the routers' entries were read.
+    /// Records that the routers' entries were read.
     pub fn note_read(&mut self, now: Millis) {
         if self.contact == Contact::Lost {
             self.contact = Contact::Since(now);
         }
     }
 
-    /// Notes that the routers' entries could not be read.
+    /// Records that the routers' entries could not be read.
     pub fn note_unread(&mut self) {
         self.contact = Contact::Lost;
     }
 
-    /// Takes in a router's heartbeat; whether something changed that others depend on.
+    /// Processes a router's heartbeat. Returns whether the router is new or restarted, came back to life, or changed
+    /// its readiness.
     pub fn update(&mut self, now: Millis, router: Router, source: Source) -> bool {
         if router.name == self.me.name {
             return false;
@@ -131,11 +134,11 @@
             router,
         };
         self.known.insert(member.router.name.clone(), member);
-        self.largest = self.largest.max(self.known.len() + 1);
+        self.largest_count = self.largest_count.max(self.known.len() + 1);
         changed
     }
 
-    /// Notes that a router's link does not answer; whether that is new.
+    /// Records that a router's link does not answer. Returns whether this was not known before.
     pub fn set_unreachable(&mut self, name: &str, incarnation: u64) -> bool {
         match self.known.get_mut(name) {
             Some(member) if member.router.incarnation == incarnation => {
@@ -147,15 +150,15 @@
 
     fn is_live(&self, now: Millis, member: &Member) -> bool {
         let silence = self.silence(now, member);
-        !member.is_unreachable && silence.0 <= self.interval.0 * MISSED_MAX
+        !member.is_unreachable && silence.0 <= self.interval.0 * MISSED_HEARTBEATS_MAX
     }
 
-    /// Interval of heartbeats.
+    /// Time between two heartbeats.
     pub fn interval(&self) -> std::time::Duration {
         std::time::Duration::from_millis(self.interval.0)
     }
 
-    /// The other routers that are live.
+    /// The other live routers.
     pub fn live(&self, now: Millis) -> impl Iterator<Item = &Router> {
         let live = self
             .known
@@ -164,86 +167,88 @@
         live.map(|member| &member.router)
     }
 
-    /// The routers that hold a customer's grants, at most `count`: those that come first in an order
-    /// that depends on the customer and the names only, so that routers agree without asking.
+    /// The routers that hold a customer's grants, at most `count`. They are chosen by rendezvous hashing of the
+    /// customer and the routers' names, so that routers agree without communication.
     pub fn holders(&self, now: Millis, customer: &str, count: usize) -> Vec<&Router> {
         let seed = xxh3_64(customer.as_bytes());
         let ready = self.live(now).filter(|router| router.is_ready);
         let me = self.me.is_ready.then_some(&self.me);
-        let mut placed: Vec<(u64, &Router)> = ready
+        let mut hashed: Vec<(u64, &Router)> = ready
             .chain(me)
-            .map(|router| (place(router, seed), router))
+            .map(|router| (hash_router(router, seed), router))
             .collect();
-        if (1..placed.len()).contains(&count) {
-            placed.select_nth_unstable_by_key(count - 1, |(place, _)| *place);
+        if (1..hashed.len()).contains(&count) {
+            hashed.select_nth_unstable_by_key(count - 1, |(hash, _)| *hash);
         }
-        placed.truncate(count);
-        placed.sort_unstable_by_key(|(place, _)| *place);
-        placed.into_iter().map(|(_, router)| router).collect()
+        hashed.truncate(count);
+        hashed.sort_unstable_by_key(|(hash, _)| *hash);
+        hashed.into_iter().map(|(_, router)| router).collect()
     }
 
-    /// Notes that this router's entry was written.
+    /// Records that this router's entry was written to the store.
     pub fn note_written(&mut self, now: Millis) {
         self.written_since.get_or_insert(now);
     }
 
-    /// This router's place in an order of all that may be live, which depends on their names and `key` only. It has
-    /// none until the others have had the time to read its first entry: they may still count one of themselves in its
-    /// place.
+    /// This router's position among all routers that may be live, in an order that depends only on their names and
+    /// `key`. `None` until the other routers have had time to read this router's first entry: before that, one of them
+    /// may still assume the same position.
     pub fn place(&self, now: Millis, key: &str) -> Option<usize> {
         let written = self.written_since?;
         if now.saturating_sub(written).0 <= self.interval.0 * JOIN_HEARTBEATS {
             return None;
         }
         let seed = xxh3_64(key.as_bytes());
-        let own = place(&self.me, seed);
+        let own = hash_router(&self.me, seed);
         let counted = self
             .known
             .values()
-            .filter(|member| !self.has_gone(now, member));
-        let before = counted.filter(|member| place(&member.router, seed) < own);
+            .filter(|member| !self.has_departed(now, member));
+        let before = counted.filter(|member| hash_router(&member.router, seed) < own);
         Some(before.count())
     }
 
-    /// Whether a router has been silent for so long, while the routers' entries were read, that it has ended for good.
-    fn has_gone(&self, now: Millis, member: &Member) -> bool {
-        self.silence(now, member) > GONE_AFTER
+    /// Whether a router has been silent for so long, while the entries could be read, that it has left for good.
+    fn has_departed(&self, now: Millis, member: &Member) -> bool {
+        self.silence(now, member) > DEPARTED_AFTER
     }
 
-    /// How long a router has been silent. While its entry is not read that says nothing.
+    /// How long a router has been silent: zero while the entries cannot be read.
     fn silence(&self, now: Millis, member: &Member) -> Millis {
         match self.contact {
             Contact::Lost => Millis::ZERO,
-            // Entries that could not be written meanwhile are written soon after the contact is back.
+            // Routers that could not write their entries during an outage write them soon after its end, so silence
+            // counts from there.
             Contact::Since(since) => now.saturating_sub(member.last_heartbeat.max(since)),
         }
     }
 
-    /// All other routers that were ever live.
+    /// All other routers that have ever been seen, live or not.
     pub fn known(&self) -> impl Iterator<Item = &Router> {
         self.known.values().map(|member| &member.router)
     }
 
-    /// Largest number of routers that the fleet was seen to have. Bounds that the fleet shares are
-    /// divided by it, so it does not fall when routers are only silent.
+    /// The largest number of routers seen so far, this one included. Fleet-wide limits are divided by it, so it does
+    /// not decrease when routers are merely silent.
     pub fn count(&self) -> usize {
-        self.largest
+        self.largest_count
     }
 
-    /// As many addresses as callers are told. Each router leaves out others, so that a large fleet gets its
-    /// callers evenly.
+    /// Limits the addresses to [`ADDRESSES_MAX`]. Each router leaves out different ones, so that callers spread evenly
+    /// over a large fleet.
     fn choose_addresses(&self, mut addresses: Vec<SocketAddr>) -> Vec<SocketAddr> {
         if addresses.len() > ADDRESSES_MAX {
             let seed = xxh3_64(self.me.name.as_bytes());
-            addresses.sort_by_cached_key(|one| place_of(one, seed));
+            addresses.sort_by_cached_key(|address| hash_address(address, seed));
             addresses.truncate(ADDRESSES_MAX);
         }
         addresses.sort_unstable();
         addresses
     }
 
-    /// Where callers may connect: the live routers that take them. Where no other is live, it is more
-    /// likely this router that is cut off, so all that were ever live are told.
+    /// The addresses that callers may use: those of the live routers that accept callers. If no other router is live,
+    /// this router is more likely to be partitioned off than the others dead, so those of all known routers are
+    /// included.
     pub fn caller_addresses(&self, now: Millis) -> Vec<SocketAddr> {
         let ready = |router: &&Router| router.is_ready;
         let mut addresses: Vec<SocketAddr> = self
@@ -262,13 +267,13 @@
     }
 }
 
-/// A router's place in an order that depends on the seed.
-fn place(router: &Router, seed: u64) -> u64 {
+/// A router's sort key for this seed.
+fn hash_router(router: &Router, seed: u64) -> u64 {
     xxh3_64_with_seed(router.name.as_bytes(), seed)
 }
 
-/// An address's place in an order that depends on the seed.
-fn place_of(address: &SocketAddr, seed: u64) -> u64 {
+/// An address's sort key for this seed.
+fn hash_address(address: &SocketAddr, seed: u64) -> u64 {
     let ip = match address.ip() {
         IpAddr::V4(ip) => ip.to_ipv6_mapped(),
         IpAddr::V6(ip) => ip,
--- a/src/gateway/message.rs
+++ b/src/gateway/message.rs
@@ -1,5 +1,5 @@
-//! What gateways say to each other over their links. Both types are encoded for other processes, so
-//! the order of variants and fields is part of their form.
+//! The messages between gateways, sent over their links. They are encoded by position for other processes, so the order
+//! of variants and fields must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,69 +14,69 @@
 /// A router's heartbeat.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The router.
+    /// The router's entry.
     pub router: Router,
-    /// Version of its configuration.
+    /// Version of the router's configuration.
     pub config: u64,
-    /// Whether the store answers it.
+    /// Whether the store answers the router.
     pub store_answers: bool,
-    /// What it has at which target.
+    /// The router's outstanding requests, by target.
     pub outstanding: Vec<Outstanding>,
 }
 
-/// What a router asks of another.
+/// A request from one router to another.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Request {
-    /// Heartbeats are exchanged.
+    /// Exchanges heartbeats.
     Heartbeat(Heartbeat),
-    /// Tokens of a customer are to be counted as spent here, for the one who asks.
+    /// Asks for tokens of a customer. The receiver counts what it lends as spent.
     Lend {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// How many.
+        /// The loan that is asked for.
         loan: Loan,
     },
-    /// Tokens of a customer pass to the one who is asked.
+    /// Transfers tokens of a customer to the receiver.
     Give {
-        /// The customer.
+        /// The customer's name.
         customer: String,
-        /// How many.
+        /// Number of tokens.
         tokens: Tokens,
     },
-    /// What do its host's clocks read?
+    /// Asks for the readings of the clocks of the receiver's host.
     Clocks,
-    /// Requests that were beside crashes of targets.
+    /// Reports requests that were running on targets when these crashed.
     Suspects(Vec<quarantine::Report>),
-    /// Which halls are emptied?
+    /// Asks which halls are evacuated.
     Evacuations,
-    /// What targets said of themselves. An empty list only asks for what the other router knows.
+    /// Reports what targets said about themselves, and asks for what the receiver knows. The list may be empty.
     Notices(Vec<notice::Report>),
 }
 
-/// What it is answered.
+/// The answer to a [`Request`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Reply {
-    /// To a heartbeat.
+    /// Answers a heartbeat.
     Heartbeat {
-        /// The answering router's own.
+        /// The answering router's own heartbeat.
         heartbeat: Box<Heartbeat>,
-        /// Its configuration as it was read, where that is newer.
+        /// The answering router's configuration as it was read, if it is newer than the asking router's.
         config: Option<Vec<u8>>,
-        /// Its list of targets, where the store answers it and not the one who asks.
+        /// The answering router's list of targets, if the store answers it but not the asking router.
         targets: Option<View>,
     },
-    /// Tokens that are lent; zero is a refusal.
+    /// The tokens that are lent; zero is a refusal.
     Lent(Tokens),
     /// The tokens that were given have been added.
     Taken,
-    /// No tokens have changed hands, and none will here.
+    /// No tokens were transferred, and the answering router will not transfer any later.
     Declined,
-    /// What the clocks of the answering router's host read.
+    /// The readings of the clocks of the answering router's host.
     Clocks(Readings),
-    /// What was told has been taken in.
+    /// The reports have been processed.
     Noted,
-    /// The halls that are emptied, where the answering router knows them.
+    /// The evacuated halls, if the answering router knows them.
     Evacuations(Option<evacuation::View>),
-    /// What the answering router knows of what targets said.
+    /// What the answering router knows about what targets said about themselves.
     Notices(Vec<notice::Report>),
 }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -1,5 +1,5 @@
-//! Counters and latency histograms, and their text at the metrics address. The fields' names are the
-//! metrics' names.
+//! Counters and latency histograms, and their text format at the metrics endpoint. The names of the fields are part of
+//! the names of the metrics.
 
 use std::fmt::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -11,44 +11,44 @@
 use super::dialect::BadEntry;
 use crate::store::Era;
 
-/// Significant digits of a histogram.
-const DIGITS: u8 = 2;
-/// Longest latency that is told apart, in microseconds.
-const LATENCY_MAX: u64 = 60_000_000;
+/// Significant decimal digits of the recorded latencies.
+const SIGNIFICANT_DIGITS: u8 = 2;
+/// Longest latency that is distinguished, in microseconds. Longer ones are recorded as this one.
+const LATENCY_MAX_US: u64 = 60_000_000;
 
-/// A number that only rises.
+/// A counter, which never decreases.
 #[derive(Debug, Default)]
 pub struct Counter(AtomicU64);
 
 impl Counter {
-    /// Adds to it.
+    /// Increases the counter by a number.
     pub fn add(&self, number: u64) {
         self.0.fetch_add(number, Ordering::Relaxed);
     }
 
-    /// Its value.
+    /// The current value.
     pub fn get(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// A histogram of times.
+/// A histogram of latencies.
 #[derive(Debug)]
 pub struct Times(Mutex<Histogram<u64>>);
 
 impl Default for Times {
     fn default() -> Self {
-        let histogram = Histogram::new_with_max(LATENCY_MAX, DIGITS);
+        let histogram = Histogram::new_with_max(LATENCY_MAX_US, SIGNIFICANT_DIGITS);
         Self(Mutex::new(
-            histogram.expect("constant bounds make a histogram"),
+            histogram.expect("the constant bounds are valid"),
         ))
     }
 }
 
 impl Times {
-    /// Counts a time.
+    /// Records a latency.
     pub fn note(&self, time: Duration) {
-        let micros = u64::try_from(time.as_micros()).unwrap_or(LATENCY_MAX);
+        let micros = u64::try_from(time.as_micros()).unwrap_or(LATENCY_MAX_US);
         let mut histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         histogram.saturating_record(micros);
     }
@@ -60,11 +60,11 @@
         #[derive(Debug, Default)]
         pub struct Metrics {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Time to the first byte of a stream, from the request's arrival.
+            /// Time from the arrival of a request to the first byte of its stream.
             pub first_byte: Times,
-            /// Time of a whole plain request.
+            /// Total time of a request that is not streamed.
             pub plain: Times,
-            /// Time to a refusal.
+            /// Time from the arrival of a request to its refusal.
             pub refusal: Times,
         }
 
@@ -79,21 +79,21 @@
 counters! {
     /// Requests that arrived.
     requests,
-    /// Answers of targets that were passed on.
+    /// Answers of targets that were forwarded.
     answered,
-    /// Requests that were refused, and have not run.
+    /// Requests that were refused and have not run.
     refused,
-    /// Requests that were refused, and may have run.
+    /// Requests that were refused but may have run.
     uncertain,
-    /// Requests whose caller left.
+    /// Requests whose caller disconnected.
     cancelled,
-    /// Attempts beyond the first.
+    /// Attempts other than the first of a request.
     repeats,
     /// Streams that were resumed at another target.
     resumed,
-    /// Streams that broke off.
+    /// Streams that ended incomplete.
     broken,
-    /// Events that were passed on.
+    /// Stream events that were forwarded.
     events,
     /// Connections opened to targets.
     connects,
@@ -104,11 +104,11 @@
 }
 
 impl Metrics {
-    /// All of them, a line each. `dropped` is the number of log lines that were dropped.
+    /// Formats all counters and histograms, one value per line. `dropped` is the number of log lines that were dropped.
     pub fn text(&self, dropped: u64) -> String {
         let mut text = String::new();
         for (name, value) in self.counters() {
-            // Writing to a string does not fail; the same holds below.
+            // Writing to a `String` cannot fail, here and below.
             let _ = writeln!(text, "lanedeck_{name}_total {value}");
         }
         let _ = writeln!(text, "lanedeck_log_lines_dropped_total {dropped}");
@@ -124,17 +124,17 @@
     }
 }
 
-/// Lines for the store's era, and how often it rose.
+/// Formats the store's era and how often it increased.
 pub fn store_era(era: Era, returns: u64) -> String {
     format!("lanedeck_store_era {era}\nlanedeck_store_returns_total {returns}\n")
 }
 
-/// Lines for entries of the list of targets that could not be used, by cause.
+/// Formats the counts of entries of the list of targets that could not be used, by cause.
 pub fn bad_entries(counters: &[Counter; BadEntry::CAUSES.len()]) -> String {
     let mut text = String::new();
     for (cause, counter) in BadEntry::CAUSES.iter().zip(counters) {
         let count = counter.get();
-        // Writing to a string does not fail.
+        // Writing to a `String` cannot fail.
         let _ = writeln!(
             text,
             "lanedeck_bad_entries_total{{cause=\"{cause}\"}} {count}"
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,10 +1,9 @@
-//! A gateway: the router process towards callers that speak a deployment's own dialect.
+//! A gateway: the router process for callers that use a deployment's own wire format.
 //!
-//! One thread owns the control state (`state`) and runs `control`; the others carry bytes
-//! (`listener`, `serve`, `exchange`, `stream`). The rules by which a request is admitted, placed,
-//! retried and given up, and grants are sized, are in [`decision`], one module each. What lasts is
-//! kept in the deployment's [`store`](crate::store); what its wire looks like is the business of its
-//! [`Dialect`](dialect::Dialect).
+//! One thread owns the control state (`state`) and runs `control`; the other threads carry traffic (`listener`,
+//! `serve`, `exchange`, `stream`). The rules by which a request is admitted, placed, retried and abandoned, and by
+//! which grants are sized, are in [`decision`], one module each. Persistent state is kept in the deployment's
+//! [`store`](crate::store). The wire format is implemented by the deployment's [`Dialect`](dialect::Dialect).
 
 pub mod attempt;
 pub mod body;
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -1,8 +1,8 @@
-//! A gateway's process: its listeners, its threads, and how it stops.
+//! The process of a gateway: its listeners, its threads and its graceful shutdown.
 //!
-//! The control thread is the only one that changes the control state; traffic runs on the caller's
-//! runtime. On SIGTERM or SIGINT the router tells callers to go elsewhere, serves those that still come,
-//! closes its server, finishes what it has begun within the time to stop, gives its grants back and ends.
+//! The control thread is the only one that changes the control state; traffic runs on the runtime that calls [`run`].
+//! On SIGTERM or SIGINT the router directs callers to other routers but still serves those that connect. It then closes
+//! its server, finishes the requests in progress within the grace period, gives its grants back and exits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,54 +27,53 @@
 use crate::store::Store;
 use crate::units::Millis;
 
-/// Interval at which a stopping gateway checks whether its requests have ended.
-const STOP_POLL: Duration = Duration::from_millis(25);
-/// Interval at which connections to targets that are gone are closed.
-const SWEEP_GAP: Duration = Duration::from_secs(2);
+/// Interval at which a gateway that is shutting down checks whether its requests have ended.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Interval at which pooled connections to removed targets are closed.
+const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The listeners of a gateway, but for the one of its link.
+/// The listeners of a gateway, except that of its link.
 pub struct Listeners {
     /// For callers' requests.
     pub callers: TcpListener,
-    /// For questions about readiness.
+    /// For readiness checks.
     pub ready: TcpListener,
-    /// For questions about addresses.
+    /// For address queries.
     pub directory: TcpListener,
     /// For metrics.
     pub metrics: TcpListener,
 }
 
-/// What a gateway is started with.
+/// The parameters of a gateway.
 pub struct Options {
     /// Settings of the control state.
     pub settings: Settings,
-    /// Bound for callers and for questions.
+    /// Bound listeners for callers, readiness checks, address queries and metrics.
     pub listeners: Listeners,
-    /// Bound for other routers.
+    /// Bound listener for other routers.
     pub link: TcpListener,
-    /// What routers of this fleet show each other.
+    /// The key by which the routers of a fleet authenticate to each other.
     pub fleet_key: String,
-    /// Partitions of the store that customers are spread over.
+    /// Number of partitions of the store that customers are distributed over.
     pub partitions: u32,
-    /// How long callers may use an answer about addresses.
+    /// How long callers may cache the answer to an address query.
     pub address_ttl: Millis,
-    /// Longest time to stop.
+    /// The grace period: maximum duration of a shutdown.
     pub grace: Millis,
-    /// What the deployment speaks.
+    /// Adapter for the deployment's wire format.
     pub dialect: Arc<dyn Dialect>,
     /// The deployment's store.
     pub store: Arc<dyn Store>,
-    /// What stops it, and has its settings read again.
+    /// The signals that stop the process or make it read its settings again.
     pub signals: Signals,
-    /// Log lines that were dropped.
+    /// Returns the number of log lines that were dropped.
     pub dropped: fn() -> u64,
 }
 
-/// Runs until SIGTERM or SIGINT, and then until all that has begun is done, or the time to stop is
-/// over.
+/// Runs a gateway until SIGTERM or SIGINT, and then until all requests have ended or the grace period is over.
 ///
 /// # Errors
-/// The system's, about the listener of its link.
+/// The I/O error if the listener of the link cannot be detached from the runtime.
 pub async fn run(mut options: Options) -> std::io::Result<()> {
     crate::panics::end_with(control::THREAD);
     let (sender, messages) = mpsc::unbounded_channel();
@@ -107,7 +106,7 @@
         options.address_ttl,
         options.dropped,
     );
-    tokio::spawn(sweep(Arc::clone(&relay)));
+    tokio::spawn(close_stale_connections(Arc::clone(&relay)));
     tokio::spawn(lag::measure(Arc::clone(&shared)));
     options.signals.stop().await;
     stop(
@@ -149,21 +148,22 @@
     open(listeners.metrics, metrics);
 }
 
-async fn sweep(relay: Arc<Relay>) {
+/// Closes pooled connections to addresses that no target uses any more.
+async fn close_stale_connections(relay: Arc<Relay>) {
     loop {
-        sleep(SWEEP_GAP).await;
+        sleep(POOL_CLEANUP_INTERVAL).await;
         let used = relay.shared.target_addresses.load_full();
         relay.pool.retain(|address| used.contains(&address));
     }
 }
 
-/// Stops in an order in which nothing can come in after the last look at what is under way: callers are
-/// sent elsewhere, the server closes, its connections end, and only then grants are given back.
+/// Shuts down in an order in which no request can arrive after the last check for active ones: callers are directed to
+/// other routers, the server closes, its connections end, and only then are grants given back.
 async fn stop(shared: &Shared, controller: &Controller, server: &Server, plan: &stop::Plan) {
     let since = Instant::now();
     let end = since + plan.end;
     shared.stop.begin(stop::Times {
-        // Callers that hold an earlier answer about addresses still come for a while.
+        // Callers that have cached an earlier address answer still connect for a while.
         late: since + plan.linger,
         end,
     });
@@ -171,12 +171,12 @@
     tracing::info!(event = "stopping", active, connections);
     controller.tell(Message::Leave);
     while Instant::now() < end && (since.elapsed() < plan.linger || shared.active() > 0) {
-        sleep(STOP_POLL).await;
+        sleep(STOP_POLL_INTERVAL).await;
     }
     server.close().await;
     let (active, connections) = (shared.active(), server.connections());
     tracing::info!(event = "closing", active, connections, ms = millis(since));
-    let cut = finish(shared, server, end, plan.answers).await;
+    let cut = drain(shared, server, end, plan.answers).await;
     let (active, connections) = (shared.active(), server.connections());
     tracing::info!(
         event = "giving_back",
@@ -193,9 +193,9 @@
     u64::try_from(since.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Waits until the connections of a closing server have ended; what is under way at `end` is given up
-/// with an answer. How many requests that were is returned.
-async fn finish(shared: &Shared, server: &Server, end: Instant, answers: Duration) -> usize {
+/// Waits until the connections of a closing server have ended. Requests that are still in progress at `end` are
+/// abandoned with an answer; returns their number.
+async fn drain(shared: &Shared, server: &Server, end: Instant, answers: Duration) -> usize {
     if timeout_at(end, server.closed()).await.is_ok() {
         return 0;
     }
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -1,7 +1,7 @@
-//! What the control thread and the traffic thread both see.
+//! The state that the control thread and the threads that carry traffic share.
 //!
-//! The control thread replaces each value as a whole and the traffic reads it without waiting; the
-//! traffic counts the requests under way, and the process takes the steps of its stop.
+//! The control thread replaces each value as a whole, and traffic reads it without blocking. Traffic counts the
+//! requests in progress, and the process advances its shutdown.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -23,56 +23,56 @@
 use crate::store::{CallError, Era, Topic};
 use crate::units::Millis;
 
-/// Calls that are turned away for their number count as lost contact after this long without a call
-/// that succeeded. One interval of heartbeats.
-const LIMITED_MAX: Duration = Duration::from_millis(1_200);
+/// Calls that the store refuses because of its rate limit count as lost contact after this long without a successful
+/// call. One heartbeat interval.
+const RATE_LIMITED_MAX: Duration = Duration::from_millis(1_200);
 
 /// The shared state.
 #[derive(Debug, Default)]
 pub struct Shared {
-    /// How long work waits for its turn on the traffic thread, in milliseconds.
+    /// Scheduling delay of the traffic thread, in milliseconds.
     lag: AtomicU64,
     /// The configuration in force.
     pub config: ArcSwapOption<Config>,
-    /// The same as it was read, to be passed on to other routers.
+    /// The configuration in force as it was read, to be passed on to other routers.
     pub config_bytes: ArcSwapOption<Bytes>,
-    /// Where callers may connect.
+    /// Addresses of the routers that callers may use.
     pub caller_addresses: ArcSwap<Vec<SocketAddr>>,
-    /// Where targets listen.
+    /// Addresses of the targets.
     pub target_addresses: ArcSwap<HashSet<SocketAddr>>,
     /// Entries of the list of targets that could not be used, by cause.
     pub bad_entries: [Counter; BadEntry::CAUSES.len()],
-    /// What targets say of themselves.
+    /// What targets currently report about themselves.
     pub said: ArcSwap<Vec<Said>>,
-    /// How often they said something new.
+    /// Counts of new reports by targets.
     pub notices: Counts,
-    /// Requests that are held back.
+    /// Quarantined requests.
     pub quarantine: ArcSwap<Vec<Held>>,
-    /// Requests that were refused since they are held back.
+    /// Number of requests that were refused because they are quarantined.
     pub quarantine_refused: Counter,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Wakes the task that writes this router's own entry.
     pub entry_changed: Notify,
-    /// How far a stop has come.
+    /// Progress of a shutdown.
     pub stop: Progress,
     active: AtomicUsize,
     has_targets: AtomicBool,
-    /// Since when the store does not answer. Only the control thread writes it.
+    /// When the store stopped answering; `None` while it answers. Only the control thread writes it.
     store_lost: ArcSwapOption<Instant>,
     store_answered: ArcSwapOption<Instant>,
-    /// The store's era, as last told.
+    /// The latest known era of the store.
     store_era: AtomicU64,
-    /// Times that the store came back from a copy while this process ran.
+    /// How often the store was restored from a copy while this process was running.
     pub store_returns: Counter,
 }
 
-/// A request under way; counted until dropped.
+/// Counts a request as active until dropped.
 #[derive(Debug)]
 pub struct Active(Arc<Shared>);
 
 impl Active {
-    /// Counts a request.
+    /// Begins to count a request.
     pub fn new(shared: &Arc<Shared>) -> Self {
         shared.active.fetch_add(1, Ordering::Relaxed);
         Self(Arc::clone(shared))
@@ -86,7 +86,7 @@
 }
 
 impl Shared {
-    /// Requests under way.
+    /// Number of requests in progress.
     pub fn active(&self) -> usize {
         self.active.load(Ordering::Relaxed)
     }
@@ -98,7 +98,7 @@
         self.entry_changed.notify_one();
     }
 
-    /// Replaces the addresses for callers.
+    /// Replaces the addresses that callers may use.
     pub fn set_caller_addresses(&self, addresses: Vec<SocketAddr>) {
         if **self.caller_addresses.load() != addresses {
             tracing::info!(event = "caller_addresses", ?addresses);
@@ -113,17 +113,17 @@
         }
     }
 
-    /// Notes that the list of targets has been read once.
+    /// Records that the list of targets has been read at least once.
     pub fn set_has_targets(&self) {
         if !self.has_targets.swap(true, Ordering::Relaxed) {
             self.entry_changed.notify_one();
         }
     }
 
-    /// Whether callers may come.
+    /// Whether this router accepts callers.
     pub fn is_ready(&self) -> bool {
-        let knows = self.config.load().is_some() && self.has_targets.load(Ordering::Relaxed);
-        knows && !self.stop.has_begun()
+        let is_loaded = self.config.load().is_some() && self.has_targets.load(Ordering::Relaxed);
+        is_loaded && !self.stop.has_begun()
     }
 
     /// Whether the store answered the last call for grants or targets.
@@ -131,12 +131,12 @@
         self.store_lost.load().is_none()
     }
 
-    /// The store's era.
+    /// The latest known era of the store.
     pub fn store_era(&self) -> Era {
         Era(self.store_era.load(Ordering::Relaxed))
     }
 
-    /// Sets the store's era. Only the control thread does.
+    /// Sets the store's era, and counts a restored store. Only the control thread calls this.
     pub fn set_store_era(&self, era: Era) {
         let before = Era(self.store_era.swap(era.0, Ordering::Relaxed));
         if before < era && before != Era::default() {
@@ -144,30 +144,30 @@
         }
     }
 
-    /// How long work waits for its turn on the traffic thread.
+    /// Scheduling delay of the traffic thread.
     pub fn lag(&self) -> Millis {
         Millis(self.lag.load(Ordering::Relaxed))
     }
 
-    /// Sets how long work waits for its turn on the traffic thread.
+    /// Sets the scheduling delay of the traffic thread.
     pub fn set_lag(&self, lag: Millis) {
         self.lag.store(lag.0, Ordering::Relaxed);
     }
 
-    /// How long the store has not answered, where it does not.
+    /// How long the store has not answered; `None` while it answers.
     pub fn store_lost(&self) -> Option<Millis> {
         let lost = self.store_lost.load();
         lost.as_ref()
             .map(|at| Millis(at.elapsed().as_millis() as u64))
     }
 
-    /// Notes that a call to the store has had no answer for a while.
+    /// Records that a call to the store has been without an answer for a while.
     pub fn note_silence(&self, topic: Topic) {
         self.note_call(topic, &Err(&CallError::Unknown));
     }
 
-    /// Counts a call to the store, and logs where contact is lost or regained. Only calls for grants
-    /// and targets tell, which each router makes all the time.
+    /// Counts a call to the store, and logs when contact is lost or regained. Only calls for grants and targets
+    /// decide that, since every router makes them all the time.
     pub fn note_call(&self, topic: Topic, result: &Result<(), &CallError>) {
         self.metrics.store_calls.add(1);
         let is_answer = match result {
@@ -185,9 +185,11 @@
             self.store_answered.store(Some(Arc::new(now)));
         }
         let last = self.store_answered.load();
-        let is_recent = last.as_ref().is_some_and(|at| now - **at < LIMITED_MAX);
-        let is_passing = matches!(result, Err(CallError::Limited)) && is_recent;
-        let is_lost = !is_answer && !is_passing;
+        let is_recent = last
+            .as_ref()
+            .is_some_and(|at| now - **at < RATE_LIMITED_MAX);
+        let is_transient = matches!(result, Err(CallError::Limited)) && is_recent;
+        let is_lost = !is_answer && !is_transient;
         if self.store_lost.load().is_some() != is_lost {
             self.store_lost.store(is_lost.then(|| Arc::new(now)));
             match result {
