--- a/src/gateway/control/apply.rs
+++ b/src/gateway/control/apply.rs
@@ -49,7 +49,7 @@
                 };
                 view.set(hall, order);
                 if content == PageContent::Changes {
-                    retained.note_word(hall);
+                    retained.release(hall);
                 }
             }
             (Some(Subject::Config), None) | (None, _) => {}
@@ -61,9 +61,9 @@
         let before = known
             .as_ref()
             .map_or_else(BTreeSet::new, |view| view.halls.clone());
-        retained.note_return(now, &before, &view.halls);
+        retained.record_restore(now, &before, &view.halls);
     }
-    view.halls.extend(retained.at(now).cloned());
+    view.halls.extend(retained.active_at(now).cloned());
     drop(retained);
     control.operators_read_at.set(Some(Instant::now()));
     evacuations::set(control, view, "store");
--- a/src/gateway/control/context.rs
+++ b/src/gateway/control/context.rs
@@ -82,7 +82,7 @@
     /// The evacuated halls according to the records read from the store.
     pub(super) halls_in_store: RefCell<BTreeSet<String>>,
     /// Evacuations kept in force after the store was restored from a copy that lacks them.
-    pub(super) halls_retained: RefCell<evacuation::Kept>,
+    pub(super) halls_retained: RefCell<evacuation::RetainedHalls>,
     /// When the operators' records were last read.
     pub(super) operators_read_at: Cell<Option<Instant>>,
     /// Id of the host's boot; `None` where the host does not provide one.
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -55,28 +55,33 @@
 /// until operators write a new record for them, or for a limited time: the lost records may have revoked the
 /// evacuation.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct RetainedHalls {
     halls: BTreeSet<String>,
     until: Millis,
 }
 
-impl Kept {
+impl RetainedHalls {
     /// How long they stay evacuated without a new record. Operators rewrite lost records within seconds.
     const RETENTION: Millis = Millis(10_000);
 
     /// Records that the store was restored: the halls that were evacuated `before` but not in the `copy` are retained.
-    pub fn note_return(&mut self, now: Millis, before: &BTreeSet<String>, copy: &BTreeSet<String>) {
+    pub fn record_restore(
+        &mut self,
+        now: Millis,
+        before: &BTreeSet<String>,
+        copy: &BTreeSet<String>,
+    ) {
         self.halls = before.difference(copy).cloned().collect();
         self.until = now + Self::RETENTION;
     }
 
     /// Stops retaining a hall for which operators have written a new record.
-    pub fn note_word(&mut self, hall: &str) {
+    pub fn release(&mut self, hall: &str) {
         self.halls.remove(hall);
     }
 
     /// The halls that stay evacuated.
-    pub fn at(&self, now: Millis) -> impl Iterator<Item = &String> {
+    pub fn active_at(&self, now: Millis) -> impl Iterator<Item = &String> {
         let is_over = now >= self.until;
         self.halls.iter().filter(move |_| !is_over)
     }
