--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -365,7 +365,7 @@
         let elapsed = self.started.elapsed();
         let metrics = &self.relay.shared.metrics;
         metrics.answered.add(1);
-        metrics.plain.note(elapsed);
+        metrics.plain.record(elapsed);
         tracing::info!(
             event = "answered",
             id = %self.request.id,
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -34,9 +34,9 @@
 
 /// A histogram of latencies.
 #[derive(Debug)]
-pub struct Times(Mutex<Histogram<u64>>);
+pub struct LatencyHistogram(Mutex<Histogram<u64>>);
 
-impl Default for Times {
+impl Default for LatencyHistogram {
     fn default() -> Self {
         let histogram = Histogram::new_with_max(LATENCY_MAX_US, SIGNIFICANT_DIGITS);
         Self(Mutex::new(
@@ -45,9 +45,9 @@
     }
 }
 
-impl Times {
+impl LatencyHistogram {
     /// Records a latency.
-    pub fn note(&self, time: Duration) {
+    pub fn record(&self, time: Duration) {
         let micros = u64::try_from(time.as_micros()).unwrap_or(LATENCY_MAX_US);
         let mut histogram = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         histogram.saturating_record(micros);
@@ -61,11 +61,11 @@
         pub struct Metrics {
             $($(#[$doc])* pub $name: Counter,)*
             /// Time from the arrival of a request to the first byte of its stream.
-            pub first_byte: Times,
+            pub first_byte: LatencyHistogram,
             /// Total time of a request that is not streamed.
-            pub plain: Times,
+            pub plain: LatencyHistogram,
             /// Time from the arrival of a request to its refusal.
-            pub refusal: Times,
+            pub refusal: LatencyHistogram,
         }
 
         impl Metrics {
@@ -143,7 +143,7 @@
     text
 }
 
-fn write_histogram(text: &mut String, name: &str, times: &Times) {
+fn write_histogram(text: &mut String, name: &str, times: &LatencyHistogram) {
     const QUANTILES: [f64; 4] = [0.5, 0.95, 0.99, 0.999];
     let histogram = times.0.lock().unwrap_or_else(PoisonError::into_inner);
     for quantile in QUANTILES {
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -123,7 +123,7 @@
         Verdict::MayHaveRun => metrics.uncertain.add(1),
         Verdict::NotRun => metrics.refused.add(1),
     }
-    metrics.refusal.note(elapsed);
+    metrics.refusal.record(elapsed);
     if matches!(reason, Reason::Refused(Refusal::Quarantined { .. })) {
         relay.shared.quarantine_refused.add(1);
     }
--- a/src/gateway/stream.rs
+++ b/src/gateway/stream.rs
@@ -81,7 +81,7 @@
             }
         };
         let elapsed = exchange.started.elapsed();
-        exchange.relay.shared.metrics.first_byte.note(elapsed);
+        exchange.relay.shared.metrics.first_byte.record(elapsed);
         tracing::info!(
             event = "stream_started",
             id = %exchange.request.id,
