--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -89,7 +89,7 @@
     }
 
     /// Records the readings of a host's clocks, taken when this host's steady clock read `now`.
-    pub fn note(&mut self, host: &str, now: Millis, theirs: &Readings) {
+    pub fn record(&mut self, host: &str, now: Millis, theirs: &Readings) {
         if let Some(boot) = theirs.boot {
             let is_same = self.boot == Some(boot.boot);
             let differs = boot.at.0.abs_diff(now.0) > BOOT_TOLERANCE_MS;
@@ -111,13 +111,13 @@
     }
 
     /// Sets the number of routers in the fleet, from which the required number of hosts follows.
-    pub fn set_fleet(&mut self, routers: usize) {
+    pub fn set_fleet_size(&mut self, routers: usize) {
         self.fleet_size = routers;
     }
 
     /// Whether this host's boot id identifies its boot. It does not if another host has the same id but a different
     /// steady clock.
-    pub fn tells_boots(&self) -> bool {
+    pub fn is_boot_id_unique(&self) -> bool {
         !self.is_boot_shared
     }
 
--- a/src/gateway/control/clock.rs
+++ b/src/gateway/control/clock.rs
@@ -63,8 +63,8 @@
     let mut state = control.state.borrow_mut();
     let name = state.members.me.name.clone();
     let routers = state.members.count();
-    state.clock.set_fleet(routers);
-    state.clock.note(&name, now, &own);
+    state.clock.set_fleet_size(routers);
+    state.clock.record(&name, now, &own);
 }
 
 async fn request_readings(control: &Control, router: &Router) {
@@ -78,6 +78,6 @@
     if round_trip <= ROUND_TRIP_MAX {
         let read_at = asked_at + Millis(round_trip.0 / 2);
         let mut state = control.state.borrow_mut();
-        state.clock.note(&router.name, read_at, &readings);
+        state.clock.record(&router.name, read_at, &readings);
     }
 }
--- a/src/gateway/escrow/holder.rs
+++ b/src/gateway/escrow/holder.rs
@@ -31,7 +31,7 @@
     pub(super) fn process_start(&self, now: Millis) -> ProcessStart {
         let wall = self.started.zip(self.clock.offset(now));
         ProcessStart {
-            boot: self.started.filter(|_| self.clock.tells_boots()),
+            boot: self.started.filter(|_| self.clock.is_boot_id_unique()),
             wall: wall.map(|(started, offset)| offset.wall(started.at)),
         }
     }
--- a/tests/escrow/mod.rs
+++ b/tests/escrow/mod.rs
@@ -152,7 +152,7 @@
                 boot: None,
                 wall: Some(wall),
             };
-            self.clock.note(host, at, &readings);
+            self.clock.record(host, at, &readings);
         }
     }
 
--- a/tests/fleet_clock.rs
+++ b/tests/fleet_clock.rs
@@ -20,7 +20,7 @@
 fn clock_read_from(hosts: &[&str]) -> Clock {
     let mut clock = Clock::new(None);
     for host in hosts {
-        clock.note(host, NOW, &wall_reading(WALL));
+        clock.record(host, NOW, &wall_reading(WALL));
     }
     clock
 }
@@ -30,7 +30,7 @@
     let mut clock = Clock::new(None);
     for (number, error) in errors.iter().enumerate() {
         let wall = WALL.saturating_add_signed(*error);
-        clock.note(&format!("h{number}"), NOW, &wall_reading(wall));
+        clock.record(&format!("h{number}"), NOW, &wall_reading(wall));
     }
     let offset = clock.agreed(NOW)?;
     Some(offset.wall(NOW).0)
@@ -61,9 +61,9 @@
 fn enough_hosts() {
     let agreed = |fleet, hosts: usize| {
         let mut clock = Clock::new(None);
-        clock.set_fleet(fleet);
+        clock.set_fleet_size(fleet);
         for number in 0..hosts {
-            clock.note(&format!("h{number}"), NOW, &wall_reading(WALL));
+            clock.record(&format!("h{number}"), NOW, &wall_reading(WALL));
         }
         assert_eq!(clock.offset(NOW), clock.agreed(NOW));
         clock.agreed(NOW).is_some()
@@ -92,11 +92,11 @@
     assert_eq!(clock.offset(later).unwrap().wall(later).0, WALL + 59_000);
     assert_eq!(clock.offset(NOW + Millis(60_000)), None);
     for host in ["h1", "h2"] {
-        clock.note(host, NOW, &wall_reading(WALL + 9_000));
+        clock.record(host, NOW, &wall_reading(WALL + 9_000));
     }
     assert_eq!(clock.agreed(NOW), None);
     assert_eq!(clock.offset(NOW).unwrap().wall(NOW).0, WALL);
-    clock.set_fleet(5);
+    clock.set_fleet_size(5);
     assert_eq!(
         clock.offset(NOW),
         None,
@@ -108,9 +108,9 @@
 #[test]
 fn newest_reading_counts() {
     let mut clock = clock_read_from(&["h1", "h2", "h3", "h4"]);
-    clock.note("h1", NOW, &wall_reading(WALL + 5_000));
+    clock.record("h1", NOW, &wall_reading(WALL + 5_000));
     assert_eq!(clock.offset(NOW).unwrap().wall(NOW).0, WALL);
-    clock.note("h2", NOW, &wall_reading(WALL + 9_000));
+    clock.record("h2", NOW, &wall_reading(WALL + 9_000));
     assert_eq!(clock.agreed(NOW), None);
 }
 
@@ -121,10 +121,10 @@
         wall: None,
     };
     let mut clock = Clock::new(Some(BOOT));
-    clock.note("h1", NOW, &read(BOOT, NOW + Millis(300)));
-    assert!(clock.tells_boots(), "the same clock");
-    clock.note("h2", NOW, &read(BOOT + 1, NOW + Millis(9_000)));
-    assert!(clock.tells_boots(), "another boot");
-    clock.note("h3", NOW, &read(BOOT, NOW + Millis(9_000)));
-    assert!(!clock.tells_boots(), "two clocks of one boot");
+    clock.record("h1", NOW, &read(BOOT, NOW + Millis(300)));
+    assert!(clock.is_boot_id_unique(), "the same clock");
+    clock.record("h2", NOW, &read(BOOT + 1, NOW + Millis(9_000)));
+    assert!(clock.is_boot_id_unique(), "another boot");
+    clock.record("h3", NOW, &read(BOOT, NOW + Millis(9_000)));
+    assert!(!clock.is_boot_id_unique(), "two clocks of one boot");
 }
--- a/tests/spend_guard.rs
+++ b/tests/spend_guard.rs
@@ -40,7 +40,7 @@
             boot: None,
             wall: Some(wall),
         };
-        clock.note(host, now, &readings);
+        clock.record(host, now, &readings);
     }
     clock
 }
@@ -234,7 +234,7 @@
         boot: Some(reading(Millis(9_000_000))),
         wall: None,
     };
-    clock.note("h1", started.at, &theirs);
+    clock.record("h1", started.at, &theirs);
     assert!(counted_by(&clock, &ledger, started) < by_boot);
     assert!(by_boot < row.granted);
 }
