--- a/src/gateway/lag.rs
+++ b/src/gateway/lag.rs
@@ -28,7 +28,7 @@
 
 impl Lag {
     /// Adds a sample, and returns the minimum of the last ones.
-    pub fn note(&mut self, late: Millis) -> Millis {
+    pub fn record(&mut self, late: Millis) -> Millis {
         self.samples[self.next] = late;
         self.next = (self.next + 1) % SAMPLES;
         self.samples.into_iter().min().unwrap_or_default()
@@ -43,7 +43,7 @@
         let due = Instant::now() + SAMPLE_INTERVAL;
         sleep_until(due).await;
         let late = due.elapsed().as_millis() as u64;
-        let least = lag.note(Millis(late));
+        let least = lag.record(Millis(late));
         shared.set_lag(least);
         if (least >= LOGGED_MIN) != is_logged {
             is_logged = !is_logged;
--- a/tests/overload_refusal.rs
+++ b/tests/overload_refusal.rs
@@ -51,7 +51,7 @@
         }
         if now >= sample_due {
             // The timer runs after everything that is queued now.
-            least = lag.note(Millis(queue.len() as u64 * STEP_MICROS / 1_000));
+            least = lag.record(Millis(queue.len() as u64 * STEP_MICROS / 1_000));
             sample_due = now + SAMPLE_MICROS;
         }
         let Some(mut request) = queue.pop_front() else {
@@ -108,10 +108,10 @@
 fn least_counts() {
     let mut lag = Lag::default();
     for _ in 0..4 {
-        assert_eq!(lag.note(Millis(400)), Millis::ZERO);
+        assert_eq!(lag.record(Millis(400)), Millis::ZERO);
     }
-    assert_eq!(lag.note(Millis(300)), Millis(300));
-    assert_eq!(lag.note(Millis(2)), Millis(2));
+    assert_eq!(lag.record(Millis(300)), Millis(300));
+    assert_eq!(lag.record(Millis(2)), Millis(2));
 }
 
 /// The shorter the latency objective and the longer the lag, the more requests are refused.
