--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -77,7 +77,7 @@
         control.shared.set_store_era(control.store.era());
         control
             .shared
-            .note_call(self.partition.topic, &result.as_ref().map(|_| ()));
+            .record_call(self.partition.topic, &result.as_ref().map(|_| ()));
         match result {
             Ok(read) => Ok(read),
             Err(error) => {
@@ -92,7 +92,7 @@
 
     async fn read(&mut self, control: &Control, wait: Duration) -> Result<ReadPage, CallError> {
         let (store, partition) = (&control.store, self.partition);
-        let silent = || control.shared.note_silence(partition.topic);
+        let silent = || control.shared.record_silence(partition.topic);
         let Some(from) = self.next else {
             let newest = || store.newest(partition, hedge::ANSWER_MAX);
             let page = hedge::hedged(hedge::HEDGE_AFTER, silent, newest).await?;
@@ -254,7 +254,7 @@
     follower.timeout.note(&result, begun_at.elapsed());
     control
         .shared
-        .note_call(partition.topic, &result.as_ref().map(|_| ()));
+        .record_call(partition.topic, &result.as_ref().map(|_| ()));
 }
 
 /// This router's entry, with its heartbeat counter incremented.
--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -100,7 +100,7 @@
         }
         result = write_once(control, cursor, purpose).await;
         let noted = result.as_ref().map(|_| ());
-        control.shared.note_call(Topic::Prepaid, &noted);
+        control.shared.record_call(Topic::Prepaid, &noted);
         match &result {
             // When the store was restored from a copy, other routers wait for these rows.
             Err(error) if error.is_outdated() => {
@@ -227,7 +227,7 @@
     loop {
         let (store, partition) = (&control.store, cursor.partition);
         let asked_at = control.now();
-        let silent = || control.shared.note_silence(partition.topic);
+        let silent = || control.shared.record_silence(partition.topic);
         let page = hedge::hedged(hedge::HEDGE_AFTER, silent, || match cursor.next {
             None => store.newest(partition, hedge::ANSWER_MAX),
             Some(from) => store.read(partition, from, Duration::ZERO, hedge::ANSWER_MAX),
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -27,7 +27,7 @@
 use super::job::Job;
 use super::relay::Relay;
 use super::route::{Config, Route};
-use super::shared::Active;
+use super::shared::ActiveRequest;
 use crate::ejection::Outcome;
 use crate::net::{self, Connection};
 use crate::units::Millis;
@@ -61,7 +61,7 @@
     pub(super) unreached: u32,
     /// Whether any attempt so far may have run.
     pub(super) verdict: Verdict,
-    pub(super) _active: Active,
+    pub(super) _active: ActiveRequest,
 }
 
 /// The head of a target's answer; the body is still to come.
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -20,7 +20,7 @@
 use super::headers;
 use super::relay::Relay;
 use super::reply;
-use super::shared::Active;
+use super::shared::ActiveRequest;
 use super::stream::Stream;
 use super::upload;
 use crate::net;
@@ -153,7 +153,7 @@
     request: dialect::Request,
     started: Instant,
 ) -> Result<Exchange, Reason> {
-    let active = Active::new(&relay.shared);
+    let active = ActiveRequest::new(&relay.shared);
     let config = relay.shared.config.load_full().ok_or(Reason::NoConfig)?;
     let terms = admission::admit(
         &config,
--- a/src/gateway/shared.rs
+++ b/src/gateway/shared.rs
@@ -69,9 +69,9 @@
 
 /// Counts a request as active until dropped.
 #[derive(Debug)]
-pub struct Active(Arc<Shared>);
+pub struct ActiveRequest(Arc<Shared>);
 
-impl Active {
+impl ActiveRequest {
     /// Begins to count a request.
     pub fn new(shared: &Arc<Shared>) -> Self {
         shared.active.fetch_add(1, Ordering::Relaxed);
@@ -79,7 +79,7 @@
     }
 }
 
-impl Drop for Active {
+impl Drop for ActiveRequest {
     fn drop(&mut self) {
         self.0.active.fetch_sub(1, Ordering::Relaxed);
     }
@@ -162,13 +162,13 @@
     }
 
     /// Records that a call to the store has been without an answer for a while.
-    pub fn note_silence(&self, topic: Topic) {
-        self.note_call(topic, &Err(&CallError::Unknown));
+    pub fn record_silence(&self, topic: Topic) {
+        self.record_call(topic, &Err(&CallError::Unknown));
     }
 
     /// Counts a call to the store, and logs when contact is lost or regained. Only calls for grants and targets
     /// decide that, since every router makes them all the time.
-    pub fn note_call(&self, topic: Topic, result: &Result<(), &CallError>) {
+    pub fn record_call(&self, topic: Topic, result: &Result<(), &CallError>) {
         self.metrics.store_calls.add(1);
         let is_answer = match result {
             Ok(()) => true,
