--- a/src/gateway/control/follow.rs
+++ b/src/gateway/control/follow.rs
@@ -207,7 +207,7 @@
             Ok(ReadPage { page, .. }) => apply_routers(&control, &page, |_| true),
             // The next read starts over with the newest entries.
             Err(error) if error.loses_place() => {}
-            Err(_) => control.state.borrow_mut().members.note_unread(),
+            Err(_) => control.state.borrow_mut().members.record_failed_read(),
         }
         control.publish_caller_addresses();
         write_own_entry(&control, &mut follower).await;
@@ -220,7 +220,7 @@
 /// Applies a page of the routers' topic, restricted to the entries of routers for which `includes` holds.
 fn apply_routers(control: &Control, page: &Page, includes: impl Fn(&str) -> bool) {
     let now = control.now();
-    control.state.borrow_mut().members.note_read(now);
+    control.state.borrow_mut().members.record_read(now);
     for record in &page.records {
         if !quarantine::apply_row(control, record) && includes(&record.key) {
             apply::router(control, record);
@@ -246,7 +246,7 @@
             .state
             .borrow_mut()
             .members
-            .note_written(control.now());
+            .record_write(control.now());
     }
     if let (Ok(end), Some(held)) = (&result, held) {
         control.written_holds.replace((end.era, held));
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -98,14 +98,14 @@
     }
 
     /// Records that the routers' entries were read.
-    pub fn note_read(&mut self, now: Millis) {
+    pub fn record_read(&mut self, now: Millis) {
         if self.contact == Contact::Lost {
             self.contact = Contact::Since(now);
         }
     }
 
     /// Records that the routers' entries could not be read.
-    pub fn note_unread(&mut self) {
+    pub fn record_failed_read(&mut self) {
         self.contact = Contact::Lost;
     }
 
@@ -186,7 +186,7 @@
     }
 
     /// Records that this router's entry was written to the store.
-    pub fn note_written(&mut self, now: Millis) {
+    pub fn record_write(&mut self, now: Millis) {
         self.written_since.get_or_insert(now);
     }
 
--- a/tests/cold_targets.rs
+++ b/tests/cold_targets.rs
@@ -132,7 +132,7 @@
 fn newcomers_wait() {
     let mut newcomer = Members::new(router(1), HEARTBEAT);
     assert_eq!(newcomer.place(NOW, "i-0"), None);
-    newcomer.note_written(NOW);
+    newcomer.record_write(NOW);
     assert_eq!(newcomer.place(NOW, "i-0"), None);
     let joined = Millis(NOW.0 + 3 * HEARTBEAT.0);
     assert_eq!(newcomer.place(joined, "i-0"), Some(0));
--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -26,7 +26,7 @@
 /// A router that has known these others for a while.
 pub fn members(me: u16, known: impl Iterator<Item = u16>) -> Members {
     let mut members = Members::new(router(me), HEARTBEAT);
-    members.note_written(Millis::ZERO);
+    members.record_write(Millis::ZERO);
     for other in known {
         members.update(NOW, router(other), Source::Store);
     }
--- a/tests/limit_shares.rs
+++ b/tests/limit_shares.rs
@@ -131,10 +131,10 @@
     let place = |view: &View, now: Millis| view.members.place(now, "i-0").unwrap();
     let among_all = place(&view, NOW + MINUTES);
     assert!(among_all > 2, "this router has no part: {among_all}");
-    view.members.note_read(NOW);
+    view.members.record_read(NOW);
     assert_eq!(place(&view, NOW + Millis(30_000)), among_all);
     assert_eq!(place(&view, NOW + MINUTES), 0);
-    view.members.note_unread();
+    view.members.record_failed_read();
     assert_eq!(place(&view, NOW + MINUTES), among_all);
 }
 
@@ -145,7 +145,7 @@
     view.members = Members::new(router(0), HEARTBEAT);
     view.hear(NOW, NOW, &limited(50.0));
     assert!(!view.may_send(NOW + WINDOW));
-    view.members.note_written(NOW);
+    view.members.record_write(NOW);
     assert!(!view.may_send(NOW + HEARTBEAT));
     assert!(view.may_send(NOW + WINDOW));
 }
--- a/tests/member_view.rs
+++ b/tests/member_view.rs
@@ -21,7 +21,7 @@
 fn large_fleet() -> Members {
     let mut members = Members::new(router(0, 1), INTERVAL);
     members.me.is_ready = true;
-    members.note_read(START);
+    members.record_read(START);
     for number in 1..FLEET {
         members.update(START, router(number, 1), Source::Store);
     }
@@ -39,7 +39,7 @@
 fn same_holders_in_a_cut() {
     let mut members = large_fleet();
     let before = holders(&members, START);
-    members.note_unread();
+    members.record_failed_read();
     for second in 0..9 {
         let now = START + Millis(second * 1_000);
         for number in 0..20 {
@@ -56,7 +56,7 @@
 #[test]
 fn unreachable_in_a_cut() {
     let mut members = large_fleet();
-    members.note_unread();
+    members.record_failed_read();
     let gone = holders(&members, START).remove(0);
     assert!(members.set_unreachable(&gone, 1));
     assert!(!holders(&members, START).contains(&gone));
@@ -66,15 +66,15 @@
 #[test]
 fn missed_after_a_cut() {
     let mut members = large_fleet();
-    members.note_unread();
+    members.record_failed_read();
     let back = START + Millis(9_000);
-    members.note_read(back);
+    members.record_read(back);
     assert_eq!(members.live(back).count(), usize::from(FLEET) - 1);
     let soon = back + Millis(1_000);
     for number in 1..FLEET - 1 {
         members.update(soon, router(number, 2), Source::Store);
     }
     let later = back + Millis(4_000);
-    members.note_read(later);
+    members.record_read(later);
     assert_eq!(members.live(later).count(), usize::from(FLEET) - 2);
 }
