--- a/tests/caller_spread.rs
+++ b/tests/caller_spread.rs
@@ -1,4 +1,4 @@
-//! Callers spread over the fleet: whom its routers tell them of.
+//! The distribution of callers over the fleet: which addresses routers give to callers.
 
 use std::collections::HashMap;
 mod fleet;
@@ -21,8 +21,8 @@
     }
 }
 
-/// The addresses that a router of a large fleet tells callers.
-fn told(me: u16) -> Vec<SocketAddr> {
+/// The addresses that a router of a large fleet gives to callers.
+fn caller_addresses(me: u16) -> Vec<SocketAddr> {
     let mut members = Members::new(router(me), Millis(1_000));
     members.me.is_ready = true;
     for number in (0..FLEET).filter(|number| *number != me) {
@@ -31,19 +31,20 @@
     members.caller_addresses(NOW)
 }
 
-/// Each router is told by about as many others: with one order for all, 22 of 86 were told by nobody.
+/// Each router is listed by about the same number of routers. If all routers sorted the addresses in the same order, 22
+/// of 86 routers would be listed by none.
 #[test]
-fn all_are_told() {
+fn all_are_listed() {
     let mut times: HashMap<SocketAddr, u32> = HashMap::new();
     for me in 0..FLEET {
-        let addresses = told(me);
-        assert_eq!(addresses.len(), 64, "what callers take");
-        assert_eq!(addresses, told(me), "the same each time");
+        let addresses = caller_addresses(me);
+        assert_eq!(addresses.len(), 64, "the maximum number of addresses");
+        assert_eq!(addresses, caller_addresses(me), "the same each time");
         for address in addresses {
             *times.entry(address).or_default() += 1;
         }
     }
     assert_eq!(times.len(), usize::from(FLEET));
     let least = times.values().min().unwrap();
-    assert!(*least >= 40, "told by {least} of 86; 64 is the mean");
+    assert!(*least >= 40, "listed by {least} of 86; 64 is the mean");
 }
--- a/tests/gateway_settings.rs
+++ b/tests/gateway_settings.rs
@@ -1,9 +1,9 @@
-//! A gateway's settings: flags, environment and file, and what is wrong with them.
+//! The settings of a gateway: flags, environment variables and file, and the errors in them.
 
 use std::io::Write;
 use std::process::{Command, Output};
 
-/// Runs a gateway with a settings file and a flag that is always wrong, so that it ends.
+/// Runs a gateway with a settings file and a flag that is always invalid, so that it exits.
 fn gateway(file: &str, flags: &[&str], variables: &[(&str, &str)]) -> Output {
     let name = format!(
         "lanedeck-settings-{}-{}",
@@ -28,15 +28,15 @@
     output
 }
 
-fn error(output: &Output) -> String {
+fn error_text(output: &Output) -> String {
     assert_eq!(output.status.code(), Some(2), "{output:?}");
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
 #[test]
-fn all_wrong_ones() {
+fn all_errors_are_reported() {
     let file = "# comment\n\nLANEDECK_FRONT=nowhere\nLANEDECK_GRACE=7\nLANEDECK_NAME=a b\n";
-    let text = error(&gateway(file, &["--log-level", "loud"], &[]));
+    let text = error_text(&gateway(file, &["--log-level", "loud"], &[]));
     for name in ["--share", "--front", "--grace", "--name", "--log-level"] {
         assert!(text.contains(name), "{name} in {text}");
     }
@@ -46,32 +46,32 @@
 fn fractions_and_gaps() {
     let file = "LANEDECK_GRACE=7.5s\nLANEDECK_REPEAT_WINDOW=s\nLANEDECK_REPEAT_RATIO=\n\
                 LANEDECK_HEARTBEAT=1200.5\nLANEDECK_KEEP=900ms\nLANEDECK_NEW=unknown\n";
-    let text = error(&gateway(file, &[], &[]));
+    let text = error_text(&gateway(file, &[], &[]));
     assert_eq!(
         text.matches("wanted is").count(),
         1,
-        "only the share is wrong: {text}"
+        "only the share is invalid: {text}"
     );
 }
 
 #[test]
-fn order() {
+fn precedence() {
     let file = "LANEDECK_GRACE=1\nLANEDECK_KEEP=1\nLANEDECK_HORIZON=1\n";
     let variables = [("LANEDECK_KEEP", "2"), ("LANEDECK_HORIZON", "5000")];
-    let text = error(&gateway(file, &["--grace", "3"], &variables));
+    let text = error_text(&gateway(file, &["--grace", "3"], &variables));
     assert!(
         text.contains("--grace: \"3\""),
-        "the flag goes first: {text}"
+        "a flag has the highest precedence: {text}"
     );
     assert!(
         text.contains("--keep: \"2\""),
-        "then the environment: {text}"
+        "the environment has precedence over the file: {text}"
     );
     assert!(!text.contains("--horizon"), "{text}");
 }
 
 #[test]
 fn broken_file() {
-    let text = error(&gateway("LANEDECK_KEEP=1s\nnonsense\n", &[], &[]));
+    let text = error_text(&gateway("LANEDECK_KEEP=1s\nnonsense\n", &[], &[]));
     assert!(text.contains("line 2"), "{text}");
 }
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -1,4 +1,4 @@
-//! A gateway that is told to stop, and one that is told to read its settings again.
+//! Graceful shutdown of a gateway, and SIGHUP, which makes it read its settings again.
 
 mod deployment;
 
@@ -6,7 +6,7 @@
 use deployment::store::Fault;
 use deployment::{Ask, Deployment, addresses, ask, config, try_ask, until};
 
-const PLENTY: u64 = 1_000_000;
+const LARGE_BUDGET: u64 = 1_000_000;
 const FLAGS: [&str; 4] = ["--keep", "200", "--grace", "20000"];
 
 #[tokio::test(flavor = "multi_thread")]
@@ -14,7 +14,8 @@
     let engine = Runner::start("i-e").await;
     engine.set(Mode::Slow(100));
     let runners = [("engine", &engine)];
-    let mut deployment = Deployment::start_with(2, &config(1, PLENTY), &runners, &FLAGS).await;
+    let mut deployment =
+        Deployment::start_with(2, &config(1, LARGE_BUDGET), &runners, &FLAGS).await;
     deployment.wait_acquainted().await;
     let front = deployment.gateways[0].front;
     let request = Ask::talk("s", "/talk/x", 100, 50);
@@ -39,14 +40,14 @@
     let app = Runner::start("i-app").await;
     let flags = ["--keep", "2000", "--grace", "20000"];
     let runners = [("app", &app)];
-    let deployment = Deployment::start_with(1, &config(1, PLENTY), &runners, &flags).await;
+    let deployment = Deployment::start_with(1, &config(1, LARGE_BUDGET), &runners, &flags).await;
     let gateway = &deployment.gateways[0];
     gateway.signal("TERM");
     until(|| async { !gateway.is_ready().await }).await;
     let answer = ask(gateway.front, &Ask::new("r", "/once/x")).await;
     assert_eq!(
         answer.status, 200,
-        "callers that hold an earlier answer are served"
+        "callers that have cached an earlier address answer are served"
     );
     assert_eq!(answer.header("connection"), "close");
 }
@@ -58,18 +59,18 @@
     engine.set(Mode::Slow(400));
     let runners = [("engine", &engine), ("app", &app)];
     let flags = ["--keep", "200", "--grace", "5000"];
-    let deployment = Deployment::start_with(1, &config(1, PLENTY), &runners, &flags).await;
+    let deployment = Deployment::start_with(1, &config(1, LARGE_BUDGET), &runners, &flags).await;
     let gateway = &deployment.gateways[0];
     let front = gateway.front;
     let request = Ask::talk("s", "/talk/x", 100, 50);
     let asked = tokio::spawn(async move { ask(front, &request).await });
     until(|| async { engine.runs() > 0 }).await;
     gateway.signal("TERM");
-    // What could be cut when the time to stop is over is refused, and has not run.
+    // A request that may outlast the grace period is refused without having run.
     until(|| async {
         let request = Ask::talk("late", "/talk/x", 100, 50);
-        let leaves = async { ask(front, &request).await };
-        let waited = tokio::time::timeout(std::time::Duration::from_millis(300), leaves).await;
+        let asked = async { ask(front, &request).await };
+        let waited = tokio::time::timeout(std::time::Duration::from_millis(300), asked).await;
         let Ok(answer) = waited else {
             return false;
         };
@@ -81,7 +82,7 @@
     assert_eq!(
         ask(front, &short).await.status,
         200,
-        "what ends in time is served"
+        "a request that ends within the grace period is served"
     );
     assert!(asked.await.unwrap().is_whole);
 }
@@ -99,20 +100,20 @@
         async move { ended }
     })
     .await;
-    // Nothing was spent, so the one that stays can spend nearly all of it.
+    // Nothing was spent, so the remaining gateway can spend nearly all of the prepaid tokens.
     let mut served = 0;
     for number in 0..30 {
         let request = Ask::talk(&format!("s{number}"), "/talk/x", 100, 50);
         let answer = ask(deployment.gateways[0].front, &request).await;
         served += u64::from(answer.status == 200);
     }
-    assert_eq!(served, 9, "as many as fit");
+    assert_eq!(served, 9, "as many requests as the prepaid tokens allow");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn reload() {
     let app = Runner::start("i-app").await;
-    let deployment = Deployment::start(1, &config(1, PLENTY), &[("app", &app)]).await;
+    let deployment = Deployment::start(1, &config(1, LARGE_BUDGET), &[("app", &app)]).await;
     let gateway = &deployment.gateways[0];
     gateway.signal("HUP");
     let answer = ask(gateway.front, &Ask::new("r", "/often/x")).await;
@@ -120,7 +121,7 @@
     assert!(gateway.is_ready().await);
 }
 
-/// How many requests the next gateway can grant once one has stopped whose store answers like this.
+/// How many requests the next gateway can serve after one has stopped whose store had this fault.
 async fn served_after(fault: Fault) -> u32 {
     const PREPAID: u64 = 1_000;
     let engine = Runner::start("i-e").await;
@@ -145,12 +146,12 @@
     served
 }
 
-/// Other routers cannot grant what a stopped gateway had not used, although its stop took a quarter of its time. The
-/// order of events: the signal; nothing runs, so the stop gives its grants back after 0.3 of 2 s; the store answers
-/// in 150 ms; after 130 ms the process ends. The cause: the time to give grants back is a share of what is kept for
-/// the end of the whole time to stop, whenever it begins.
+/// Guards against a shutdown that loses unused grants although it has used only a quarter of its grace period. Nothing
+/// is running, so grants are given back after 0.3 s of 2 s; the store needs 150 ms for that. The process would exit
+/// after 130 ms if the time limit for giving grants back were always a share of the reserve at the end of the grace
+/// period, no matter how early it begins.
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_return() {
-    let usual = served_after(Fault::None).await;
-    assert_eq!(served_after(Fault::Slow(150)).await, usual);
+    let expected = served_after(Fault::None).await;
+    assert_eq!(served_after(Fault::Slow(150)).await, expected);
 }
--- a/tests/host_sleep.rs
+++ b/tests/host_sleep.rs
@@ -1,6 +1,7 @@
-//! Hosts that sleep for seconds: the clock that timers run by stands still meanwhile, all other hosts go on.
+//! Hosts that sleep for seconds: the monotonic clock that timers use stops meanwhile, while all other hosts continue.
 //!
-//! A process that is stopped by a signal shows none of it, since both clocks run on; here the time is told.
+//! Stopping a process by a signal does not reproduce this, since both clocks continue. These tests pass the time
+//! explicitly instead.
 
 mod deployment;
 
@@ -18,14 +19,14 @@
 const SLEEP: Millis = Millis(4_000);
 
 #[tokio::test]
-async fn callers_time_goes_on() {
+async fn deadline_counts_sleep() {
     let at = Instant::now() + Duration::from_secs(6);
     let deadline = Deadline::new(at, CancellationToken::new());
     assert!(deadline.left() > Duration::from_secs(5));
     let left = deadline.left_at(boot_clock::now() + SLEEP);
     assert!(
         left <= Duration::from_secs(2),
-        "no target is told more than the caller waits: {left:?}"
+        "no target may get more time than the caller waits: {left:?}"
     );
     let left = deadline.left_at(boot_clock::now() + SLEEP + SLEEP);
     assert!(left.is_zero());
@@ -37,11 +38,11 @@
     let pool = Pool::default();
     let request = Ask::new("r1", "/x");
     for (sleep, is_kept) in [(Millis::ZERO, true), (SLEEP, false)] {
-        let mut line = net::open(runner.address, LONG, LONG).await.unwrap();
-        assert_eq!(ask_on(&mut line, &request).await.unwrap().status, 200);
-        // The task of the connection takes a turn of its own to see the answer's end.
-        until(|| std::future::ready(line.is_usable(boot_clock::now()))).await;
-        pool.put(runner.address, line, Duration::from_millis(3_000));
+        let mut connection = net::open(runner.address, LONG, LONG).await.unwrap();
+        assert_eq!(ask_on(&mut connection, &request).await.unwrap().status, 200);
+        // The task of the connection must be scheduled once more to process the end of the answer.
+        until(|| std::future::ready(connection.is_usable(boot_clock::now()))).await;
+        pool.put(runner.address, connection, Duration::from_millis(3_000));
         let taken = pool.take_at(boot_clock::now() + sleep, runner.address);
         assert_eq!(taken.is_some(), is_kept, "after {sleep} ms of sleep");
     }
--- a/tests/pinned_gateway.rs
+++ b/tests/pinned_gateway.rs
@@ -1,6 +1,6 @@
-//! What a gateway sends, stores and is configured by, as literals. A literal here is a promise to
-//! the processes, records and deployments that are already there: it is never edited. Where a
-//! type's name or module changes, only the expressions beside the literals follow.
+//! Pins the encoded form of messages, records and settings of a gateway as literals. Existing processes, records and
+//! deployments depend on each literal, so literals are never edited. If a type is renamed or moved, only the
+//! expressions next to the literals change.
 
 mod pins;
 #[allow(dead_code)]
@@ -98,13 +98,13 @@
         },
         ramp: None,
     };
-    let promised = Row {
+    let committed = Row {
         commitment: Some(commitment),
         ..row
     };
     pin_bytes(
         "fb2c0105fc70110100fbfb00fb8403fb900107fb2823",
-        &promised.encode(),
+        &committed.encode(),
     );
     let ramp = Ramp {
         begin: Millis(1_000),
@@ -124,7 +124,7 @@
     );
 }
 
-/// The encoded form of what encodes itself.
+/// Pins the encoded form of a type that has an encoder of its own.
 fn pin_bytes(literal: &str, bytes: &[u8]) {
     let text: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(text, literal);
@@ -213,7 +213,7 @@
     );
 }
 
-/// A place in a store that names no era.
+/// A position in a store that reports no era.
 fn place(offset: u64) -> Place {
     Place {
         era: Era::default(),
@@ -221,7 +221,7 @@
     }
 }
 
-/// Answers one request of a store's client, and returns the request with its host replaced.
+/// Answers one request of a store client. Returns the request with its host replaced, and the result of `call`.
 async fn exchange<T>(answer: &[u8], call: impl AsyncFnOnce(LogStore) -> T) -> (String, T) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = listener.local_addr().unwrap();
--- a/tests/planned_stop.rs
+++ b/tests/planned_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop cuts nothing off, gives everything back, and says where to go instead.
+//! A graceful shutdown interrupts no request, gives all tokens back, and directs callers to other routers.
 
 mod common;
 
@@ -9,7 +9,8 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// Longer than the HTTP server itself waits for open connections after a signal: 32 s.
+/// Tokens of a stream that lasts 36 s, longer than the 32 s that the HTTP server itself waits for open connections
+/// after a signal.
 const LONG_TOKENS: u64 = 360;
 
 #[test]
@@ -29,7 +30,7 @@
         area.routers[home].signal("TERM");
         std::thread::sleep(Duration::from_millis(300));
 
-        // New work is sent elsewhere; the other router takes it.
+        // New requests are refused; the other router accepts them.
         let new = area.send(Method::POST, to, CHAT, &key("kiosks"), &[], &chat("new", 5));
         assert_eq!(
             (new.status, new.header("lanedeck-reason")),
@@ -81,7 +82,7 @@
         let answer = area.send(Method::POST, to, CHAT, &key("kiosks"), &[], &chat("x", 5));
         assert_eq!(answer.events().last(), Some(&"[DONE]"));
         area.routers[place].signal("TERM");
-        // Well under the time for which a stop waits for a log that is out.
+        // Well below the time that a shutdown waits for an unavailable log.
         assert_eq!(area.routers[place].wait(Duration::from_secs(20)), Some(0));
         area.restart_router(place);
         area.wait_ready();
@@ -94,8 +95,8 @@
     );
 }
 
-/// Tokens of a router that died just after its witness was told to stop stayed held: the witness ended
-/// with the only accounts of it.
+/// Guards against tokens that stay held if a router dies just after its witness was signaled to stop: the witness
+/// would exit with the only record of them.
 #[test]
 fn witness_leaves() {
     let mut area = Area::with_options(1, 3, &["--close-after=1000"], &["--between=20"]);
@@ -123,7 +124,7 @@
     area.send(Method::POST, to, CHAT, &key("kiosks"), &[], &chat("x", 5));
     area.settled("kiosks", 7);
     area.faults(&area.log, &serde_json::json!({"down": true}));
-    // A router that is started now has its configuration from its peer.
+    // A router that starts now gets its configuration from its peer.
     area.routers[1].signal("TERM");
     assert_eq!(area.routers[1].wait(Duration::from_secs(60)), Some(0));
     area.restart_router(1);
--- a/tests/stop_answers.rs
+++ b/tests/stop_answers.rs
@@ -1,12 +1,10 @@
-//! What a stopping router has read is answered or refused before the process ends, and a signal to
-//! read settings again does not stop it.
+//! Every request that a router has read during its shutdown is answered or refused before the process exits. SIGHUP
+//! does not stop it.
 //!
-//! Users saw a request that was sent whole to a process about to stop, and then the end of the
-//! connection without a byte of answer. The order of events: the signal; the stop's work done; one
-//! look at a count of open connections; a connection accepted after it, its request read; the exit.
-//! The count was taken while the listeners were open, and peers' connections were in no count. A
-//! connection that ends without an answer tells which happened: it is reset where the request was
-//! never read, and ends in order where it was.
+//! Guards against a request that is sent in full but gets no byte of an answer: if a single check of the number of open
+//! connections ends the shutdown while the listeners are still open, a connection may be accepted and its request read
+//! between the check and the exit. Connections of peers were not counted at all. A connection that ends without an
+//! answer shows which case occurred: it is reset if the request was never read, and closed in order if it was.
 
 mod common;
 
@@ -20,25 +18,25 @@
 use lanedeck::wire::{Client, Missing};
 
 const CHAT: &str = "/v1/chat/completions";
-/// Longest wait for a process to end, far longer than it should take.
-const END_MAX: Duration = Duration::from_secs(60);
-/// Routers that ask a stopping one at once.
-const ASKERS: usize = 32;
-/// Routers that are stopped at once, each with one caller.
-const STOPS: usize = 4;
-/// Times that they are stopped: the moment is short, and is met in some stops only.
+/// Longest wait for a process to exit, far longer than it should take.
+const EXIT_MAX: Duration = Duration::from_secs(60);
+/// Clients that send peer requests to a stopping router at the same time.
+const PEER_CLIENTS: usize = 32;
+/// Routers that are stopped at the same time, each with one caller.
+const STOPPED_ROUTERS: usize = 4;
+/// How often they are stopped. The critical moment is short, so only some shutdowns hit it.
 const ROUNDS: usize = 5;
 
-/// How a request on a connection of its own went.
+/// The outcome of a request on a connection of its own.
 #[derive(Debug, PartialEq, Eq)]
 enum Outcome {
-    /// A whole answer with this status.
+    /// A complete answer with this status.
     Answered(u16),
-    /// The request was read, and no whole answer came.
+    /// The request was read, but no complete answer arrived.
     Unanswered,
     /// The request was not read.
     Unread,
-    /// Nothing listens.
+    /// The connection was refused.
     Refused,
 }
 
@@ -65,7 +63,7 @@
     }
 }
 
-/// The status of an answer that has come whole.
+/// The status of a complete answer.
 fn status_of_whole(answer: &[u8]) -> Option<u16> {
     let answer = std::str::from_utf8(answer).ok()?;
     let (head, body) = answer.split_once("\r\n\r\n")?;
@@ -78,8 +76,8 @@
     (length == Some(body.len())).then_some(status)
 }
 
-/// Asks on until the router has ended; answers, and requests that were read and had none.
-fn ask_to_the_end(to: SocketAddr) -> (usize, usize) {
+/// Sends requests until the router has exited. Returns how many were answered, and how many were read but not answered.
+fn ask_until_exit(to: SocketAddr) -> (usize, usize) {
     let request = entry_request(&key("kiosks"));
     let (mut answered, mut unanswered) = (0, 0);
     loop {
@@ -92,65 +90,72 @@
     }
 }
 
-/// One caller a router, so that the look at the count of connections may find none.
+/// Each router has a single caller, so that a check of the number of open connections may find none.
 #[test]
 fn late_connections() {
-    let mut area = Area::new(1, STOPS);
+    let mut area = Area::new(1, STOPPED_ROUTERS);
     let mut counts = Vec::new();
     for _ in 0..ROUNDS {
         counts.extend(std::thread::scope(|scope| {
-            let ask = |to| scope.spawn(move || ask_to_the_end(to));
-            let askers: Vec<_> = area.routers.iter().map(|one| ask(one.address)).collect();
+            let ask = |to| scope.spawn(move || ask_until_exit(to));
+            let callers: Vec<_> = area
+                .routers
+                .iter()
+                .map(|router| ask(router.address))
+                .collect();
             for router in &area.routers {
                 router.signal("TERM");
             }
-            let counts = askers.into_iter().map(|one| one.join().unwrap());
+            let counts = callers.into_iter().map(|caller| caller.join().unwrap());
             counts.collect::<Vec<_>>()
         }));
-        for place in 0..STOPS {
-            assert_eq!(area.routers[place].wait(END_MAX), Some(0));
-            area.restart_router(place);
+        for index in 0..STOPPED_ROUTERS {
+            assert_eq!(area.routers[index].wait(EXIT_MAX), Some(0));
+            area.restart_router(index);
         }
         area.wait_ready();
     }
     let unanswered: usize = counts.iter().map(|(_, unanswered)| unanswered).sum();
-    assert_eq!(unanswered, 0, "answered and not, by stop: {counts:?}");
+    assert_eq!(
+        unanswered, 0,
+        "(answered, unanswered) by router and round: {counts:?}"
+    );
     assert!(
         counts.iter().all(|(answered, _)| *answered > 0),
         "{counts:?}"
     );
 }
 
-async fn question(client: &Client, to: SocketAddr) -> Result<Reply, Missing> {
-    let question = Request::Heartbeat { peers: Vec::new() };
-    client.ask(to, &question).await
+async fn peer_request(client: &Client, to: SocketAddr) -> Result<Reply, Missing> {
+    let request = Request::Heartbeat { peers: Vec::new() };
+    client.ask(to, &request).await
 }
 
-/// Asks a router on until it has ended; why the last question had no answer.
-async fn question_to_the_end(client: Client, to: SocketAddr) -> Missing {
+/// Sends peer requests to a router until it has exited. Returns why the last one had no answer.
+async fn peer_requests_until_exit(client: Client, to: SocketAddr) -> Missing {
     loop {
-        if let Err(missing) = question(&client, to).await {
+        if let Err(missing) = peer_request(&client, to).await {
             return missing;
         }
     }
 }
 
 #[test]
-fn late_questions() {
+fn late_peer_requests() {
     let mut area = Area::new(1, 1);
     let to = area.routers[0].peer;
     let runtime = tokio::runtime::Runtime::new().unwrap();
-    let clients: Vec<_> = (0..ASKERS).map(|_| Client::new(FLEET_KEY)).collect();
+    let clients: Vec<_> = (0..PEER_CLIENTS).map(|_| Client::new(FLEET_KEY)).collect();
     for client in &clients {
-        runtime.block_on(question(client, to)).unwrap();
+        runtime.block_on(peer_request(client, to)).unwrap();
     }
-    let ask = |client| runtime.spawn(question_to_the_end(client, to));
-    let askers: Vec<_> = clients.into_iter().map(ask).collect();
+    let ask = |client| runtime.spawn(peer_requests_until_exit(client, to));
+    let tasks: Vec<_> = clients.into_iter().map(ask).collect();
     area.routers[0].signal("TERM");
-    let missing = runtime.block_on(futures::future::join_all(askers));
-    assert_eq!(area.routers[0].wait(END_MAX), Some(0));
+    let missing = runtime.block_on(futures::future::join_all(tasks));
+    assert_eq!(area.routers[0].wait(EXIT_MAX), Some(0));
     let missing: Vec<_> = missing.into_iter().map(Result::unwrap).collect();
-    assert_eq!(missing, vec![Missing::Refused; ASKERS]);
+    assert_eq!(missing, vec![Missing::Refused; PEER_CLIENTS]);
 }
 
 fn chat_head(body: &str) -> String {
@@ -161,17 +166,17 @@
     )
 }
 
-/// Reads a connection to its end; the status of the answer, and the answer.
+/// Reads a connection to its end. Returns the status of the answer if it is complete, and its text.
 fn read_answer(mut stream: TcpStream) -> (Option<u16>, String) {
     let mut answer = Vec::new();
-    // What came before an error is judged.
+    // Bytes that arrived before an error are evaluated as well.
     let _ = stream.read_to_end(&mut answer);
     let text = String::from_utf8_lossy(&answer).to_lowercase();
     (status_of_whole(&answer), text)
 }
 
-/// A caller that sends its body slowly, or never to its end, has a refusal all the same, and does not
-/// keep the process. Its request has not run; where it has an id, an earlier one with this id may have.
+/// A caller that sends its body slowly or never completes it is refused all the same, and does not delay the exit. Its
+/// request has not run; if it has an id, an earlier request with this id may have.
 #[test]
 fn half_bodies() {
     let mut area = Area::new(1, 1);
@@ -179,16 +184,16 @@
     let body = chat("slow", 5);
     let half = |head: &str| head.to_owned() + &body[..body.len() / 2];
     let id = format!("{}00000007", area.prefix_of(0));
-    let ran = [("lanedeck-request-id", id.as_str())];
-    let first = area.send(Method::POST, to, CHAT, &key("kiosks"), &ran, &body);
+    let headers = [("lanedeck-request-id", id.as_str())];
+    let first = area.send(Method::POST, to, CHAT, &key("kiosks"), &headers, &body);
     assert_eq!(first.events().last(), Some(&"[DONE]"));
     let head = chat_head(&body);
-    let named = head.replace(
+    let head_with_id = head.replace(
         "\r\n\r\n",
         &format!("\r\nlanedeck-request-id: {id}\r\n\r\n"),
     );
     let fresh = send(to, &half(&head));
-    let repeated = send(to, &half(&named));
+    let repeated = send(to, &half(&head_with_id));
     let _silent = send(to, "");
     area.routers[0].signal("TERM");
     let (status, text) = read_answer(fresh);
@@ -200,10 +205,10 @@
     assert_eq!(status, Some(502), "{text}");
     assert!(text.contains("lanedeck-reason: stopping"), "{text}");
     assert!(text.contains("lanedeck-verdict: may_have_run"), "{text}");
-    assert_eq!(area.routers[0].wait(END_MAX), Some(0));
+    assert_eq!(area.routers[0].wait(EXIT_MAX), Some(0));
 }
 
-/// A caller that goes on sending while it is refused has the refusal, and no reset in its place.
+/// A caller that continues to send while it is refused receives the refusal instead of a connection reset.
 #[test]
 fn long_upload() {
     let mut area = Area::new(1, 1);
@@ -212,26 +217,26 @@
     let (first, rest) = body.split_at(body.len() / 2);
     let mut stream = send(to, &(chat_head(&body) + first));
     area.routers[0].signal("TERM");
-    area.wait("it takes no connection", |_| {
+    area.wait("the router refuses connections", |_| {
         TcpStream::connect(to).is_err()
     });
     stream.write_all(rest.as_bytes()).unwrap();
     let (status, text) = read_answer(stream);
     assert!(text.contains("lanedeck-reason: stopping"), "{text}");
-    assert!(status.is_some(), "not whole: {text}");
-    assert_eq!(area.routers[0].wait(END_MAX), Some(0));
+    assert!(status.is_some(), "incomplete answer: {text}");
+    assert_eq!(area.routers[0].wait(EXIT_MAX), Some(0));
 }
 
-/// A caller that stops within the head of a request is owed nothing, and does not keep the process.
+/// A caller that stops sending within the head of a request gets no answer, and does not delay the exit.
 #[test]
 fn half_heads() {
     let mut area = Area::new(1, 1);
     let _half = send(area.routers[0].address, "POST /v1/chat/compl");
     area.routers[0].signal("TERM");
-    assert_eq!(area.routers[0].wait(END_MAX), Some(0));
+    assert_eq!(area.routers[0].wait(EXIT_MAX), Some(0));
 }
 
-/// An operator's confirm that comes while the router waits for a slow log is answered, and in force.
+/// An operator's confirm that arrives while the router waits for a slow log is answered and takes effect.
 #[test]
 fn late_confirm() {
     let mut area = Area::new(1, 1);
@@ -252,11 +257,11 @@
     area.wait("it stops", |area| area.routers[0].has_logged("stopping"));
     let answer = area.confirm(0, &plan);
     assert_eq!(answer.status, 200, "{answer:?}");
-    assert_eq!(area.routers[0].wait(END_MAX), Some(0));
+    assert_eq!(area.routers[0].wait(EXIT_MAX), Some(0));
 }
 
-/// Callers that keep their connection are told to leave it while the router still answers, so that
-/// none sends a request at the moment at which it is closed.
+/// Callers with keep-alive connections are told to close them while the router still answers, so that none sends a
+/// request at the moment at which its connection is closed.
 #[test]
 fn kept_connections() {
     let mut area = Area::with_options(1, 1, &[], &["--between=100"]);
@@ -273,28 +278,30 @@
         area.wait("the stream runs", |area| !area.ran().is_empty());
         area.routers[0].signal("TERM");
         area.wait("it stops", |area| area.routers[0].has_logged("stopping"));
-        area.wait("it refuses", |area| area.status(0)["stopping"] == true);
+        area.wait("it reports that it stops", |area| {
+            area.status(0)["stopping"] == true
+        });
         kept.write_all(request.as_bytes()).unwrap();
         let (status, text) = read_answer(kept);
         assert_eq!(status, Some(503), "{text}");
         assert!(text.contains("connection: close"), "{text}");
         assert!(
             !area.routers[0].has_logged("stopped"),
-            "closed by the exit, not by the answer"
+            "the connection was closed by the exit instead of the answer"
         );
         let stream = stream.join().unwrap();
         assert_eq!(stream.events().last(), Some(&"[DONE]"));
     });
-    assert_eq!(area.routers[0].wait(END_MAX), Some(0));
+    assert_eq!(area.routers[0].wait(EXIT_MAX), Some(0));
 }
 
-/// Operators sent SIGHUP, as to other services, and the router stopped.
+/// Guards against a router that stops on SIGHUP, which operators send to make a service reload.
 #[test]
 fn reload() {
     let area = Area::new(1, 1);
     let router = &area.routers[0];
     router.signal("HUP");
-    area.wait("the signal is taken", |_| {
+    area.wait("the signal is handled", |_| {
         router.has_logged("reloaded") || router.has_logged("stopping")
     });
     assert!(!router.has_logged("stopping"));
