--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -351,7 +351,7 @@
         dialect,
         store,
         signals,
-        dropped: dropped_lines,
+        dropped_log_lines: dropped_lines,
     };
     gateway::run(options).await.map_err(|source| Error::Io {
         what: "--link".to_owned(),
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -64,8 +64,8 @@
                 let body = dialect.write_addresses(&shared.caller_addresses.load(), *time_to_live);
                 respond(StatusCode::OK, "application/json", Body::full(body))
             }
-            Self::Metrics(shared, dropped) => {
-                let mut text = shared.metrics.text(dropped());
+            Self::Metrics(shared, dropped_log_lines) => {
+                let mut text = shared.metrics.text(dropped_log_lines());
                 text.push_str(&metrics::bad_entries(&shared.bad_entries));
                 let returns = shared.store_returns.get();
                 text.push_str(&metrics::store_era(shared.store_era(), returns));
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -67,7 +67,7 @@
     /// The signals that stop the process or make it read its settings again.
     pub signals: Signals,
     /// Returns the number of log lines that were dropped.
-    pub dropped: fn() -> u64,
+    pub dropped_log_lines: fn() -> u64,
 }
 
 /// Runs a gateway until SIGTERM or SIGINT, and then until all requests have ended or the grace period is over.
@@ -104,7 +104,7 @@
         &relay,
         options.listeners,
         options.address_ttl,
-        options.dropped,
+        options.dropped_log_lines,
     );
     tokio::spawn(close_stale_connections(Arc::clone(&relay)));
     tokio::spawn(lag::measure(Arc::clone(&shared)));
@@ -135,7 +135,7 @@
     relay: &Arc<Relay>,
     listeners: Listeners,
     address_ttl: Millis,
-    dropped: fn() -> u64,
+    dropped_log_lines: fn() -> u64,
 ) {
     let (shared, dialect) = (&relay.shared, &relay.dialect);
     let open = |listener, endpoint| listener::listen(server, listener, shared, endpoint);
@@ -144,7 +144,7 @@
     open(listeners.ready, ready);
     let directory = Endpoint::Directory(Arc::clone(shared), Arc::clone(dialect), address_ttl);
     open(listeners.directory, directory);
-    let metrics = Endpoint::Metrics(Arc::clone(shared), dropped);
+    let metrics = Endpoint::Metrics(Arc::clone(shared), dropped_log_lines);
     open(listeners.metrics, metrics);
 }
 
