--- a/tests/pinned_gateway.rs
+++ b/tests/pinned_gateway.rs
@@ -441,7 +441,7 @@
 
 #[test]
 fn answer_headers() {
-    let told = Platform.read_reply(
+    let reply = Platform.read_reply(
         200,
         &headers(&[
             ("x-attempt-id", "r1"),
@@ -450,11 +450,11 @@
             ("keep-alive", "timeout=5"),
         ]),
     );
-    assert_eq!(told.id.as_deref(), Some("r1"));
-    assert!(told.is_signed && !told.not_run && !told.wrong_instance);
-    let load = told.load.unwrap();
+    assert_eq!(reply.id.as_deref(), Some("r1"));
+    assert!(reply.is_signed && !reply.not_run && !reply.wrong_instance);
+    let load = reply.load.unwrap();
     assert_eq!((load.running, load.waiting), (5, 2));
-    assert_eq!(told.idle_timeout, Some(Millis(5_000)));
+    assert_eq!(reply.idle_timeout, Some(Millis(5_000)));
     assert!(
         Platform
             .read_reply(503, &headers(&[("x-not-executed", "1")]))
