--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -26,7 +26,7 @@
 use super::job::Job;
 use super::relay::Relay;
 use super::route::{Config, Route};
-use super::shared::Active;
+use super::shared::ActiveRequest;
 use crate::ejection::Outcome;
 use crate::net::{self, Connection};
 use crate::units::Millis;
@@ -60,7 +60,7 @@
     pub(super) unreached: u32,
     /// Whether any attempt so far may have run.
     pub(super) verdict: Verdict,
-    pub(super) _active: Active,
+    pub(super) _active: ActiveRequest,
 }
 
 /// A target's response whose head was received; its body was not.
@@ -378,7 +378,7 @@
         let elapsed = self.started.elapsed();
         let metrics = &self.relay.shared.metrics;
         metrics.answered.add(1);
-        metrics.plain.note(elapsed);
+        metrics.plain.record(elapsed);
         tracing::info!(
             event = "answered",
             id = %self.request.id,
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -20,7 +20,7 @@
 use super::headers;
 use super::relay::Relay;
 use super::reply;
-use super::shared::Active;
+use super::shared::ActiveRequest;
 use super::stream::Stream;
 use super::upload;
 use crate::net;
@@ -124,7 +124,7 @@
         Verdict::MayHaveRun => metrics.uncertain.add(1),
         Verdict::NotRun => metrics.refused.add(1),
     }
-    metrics.refusal.note(elapsed);
+    metrics.refusal.record(elapsed);
     if matches!(reason, Reason::Refused(Refusal::Quarantined { .. })) {
         relay.shared.quarantine_refused.add(1);
     }
@@ -154,7 +154,7 @@
     request: dialect::Request,
     started: Instant,
 ) -> Result<Exchange, Reason> {
-    let active = Active::new(&relay.shared);
+    let active = ActiveRequest::new(&relay.shared);
     let config = relay.shared.config.load_full().ok_or(Reason::NoConfig)?;
     let terms = admission::admit(
         &config,
