--- a/src/router/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -1,4 +1,4 @@
-//! Answers as they come in, kept for whoever asks for them: the caller, and its retries.
+//! Answers of targets as they arrive, kept for the caller and for retries with the same request id.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 use crate::router::report::Watch;
 use crate::router::request::{Id, Ticket, Verdict};
 
-/// What is sent to the target.
+/// The payload that is sent to the target.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A model call.
@@ -21,72 +21,75 @@
     Service(Bytes),
 }
 
-/// What a request is about, for logs and reports.
+/// The properties of a request that logs and reports show.
 #[derive(Clone, Debug)]
 pub struct About {
-    /// Its id.
+    /// The request id.
     pub id: Id,
-    /// Whose it is.
+    /// The customer that sent it.
     pub customer: String,
-    /// Its class.
+    /// The service class.
     pub class: String,
-    /// The model or service.
+    /// The requested model or service.
     pub serves: String,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
-    /// When it came.
+    /// When the request arrived.
     pub arrived: Instant,
 }
 
-/// The answer of a service.
+/// The complete answer of a service.
 #[derive(Clone, Debug)]
 pub struct Body {
-    /// Its status.
+    /// The HTTP status.
     pub status: StatusCode,
-    /// Its body.
+    /// The body.
     pub body: Bytes,
 }
 
-/// What a reader of an answer sees next.
+/// The next item that a reader of an answer receives.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// A frame.
     Frame(Arc<Frame>),
-    /// There is nothing more.
+    /// The end of the answer.
     End(Verdict),
 }
 
 #[derive(Debug, Default)]
 struct Inner {
     frames: Vec<Arc<Frame>>,
+    /// The answer of a service.
     whole: Option<Body>,
     verdict: Option<Verdict>,
+    /// The answer of the first arrival, in the answer of a retry.
     joined: Option<Arc<Answer>>,
-    shown: bool,
+    /// Whether a reader has received a part of the content.
+    delivered: bool,
 }
 
-/// One request's answer.
+/// The answer to one request, which may still be arriving.
 #[derive(Debug)]
 pub struct Answer {
-    /// What is sent to the target.
+    /// The payload that is sent to the target.
     pub work: Work,
-    /// What it is about.
+    /// The properties of the request.
     pub about: About,
-    /// What it measures on its way.
+    /// The arrival times of its frames.
     pub watch: Watch,
     inner: Mutex<Inner>,
-    moved: watch::Sender<()>,
+    changed: watch::Sender<()>,
 }
 
 impl Answer {
-    /// An answer that has not begun.
+    /// Creates an answer without any content.
     pub fn new(work: Work, about: About) -> Self {
         Self {
             work,
             about,
             watch: Watch::default(),
             inner: Mutex::default(),
-            moved: watch::Sender::new(()),
+            changed: watch::Sender::new(()),
         }
     }
 
@@ -94,111 +97,113 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
+    /// Changes the content and wakes all waiting readers.
     fn change(&self, change: impl FnOnce(&mut Inner)) {
         change(&mut self.lock());
-        self.moved.send_replace(());
+        self.changed.send_replace(());
     }
 
-    /// Adds a frame.
+    /// Appends a frame.
     pub fn push(&self, frame: Frame) {
         self.change(|inner| inner.frames.push(Arc::new(frame)));
     }
 
-    /// Sets a service's answer.
+    /// Stores the answer of a service.
     pub fn set_whole(&self, body: Body) {
         self.change(|inner| inner.whole = Some(body));
     }
 
-    /// Ends the answer.
+    /// Ends the answer with a verdict; the first verdict stays.
     pub fn end(&self, verdict: Verdict) {
         self.change(|inner| {
             inner.verdict.get_or_insert(verdict);
         });
     }
 
-    /// A retry's answer is that of the first arrival.
+    /// Makes this answer, which belongs to a retry, refer to the answer of the first arrival.
     pub fn join(&self, first: Arc<Answer>) {
         self.change(|inner| inner.joined = Some(first));
     }
 
-    /// Takes back what has come, unless somebody has seen a part; whether somebody has.
+    /// Discards the content, unless a reader has already received a part of it; returns whether one has.
     pub fn take_back(&self) -> bool {
         let mut inner = self.lock();
-        if !inner.shown {
+        if !inner.delivered {
             inner.frames.clear();
             inner.whole = None;
         }
-        inner.shown
+        inner.delivered
     }
 
-    /// The verdict, once there is one.
+    /// The verdict, if the answer has ended.
     pub fn verdict(&self) -> Option<Verdict> {
         self.lock().verdict
     }
 
-    /// A service's answer.
+    /// The answer of a service, if it has arrived.
     pub fn whole(&self) -> Option<Body> {
         self.lock().whole.clone()
     }
 
-    /// The answer that a retry has joined.
+    /// The answer of the first arrival, if this one belongs to a retry.
     pub fn joined(&self) -> Option<Arc<Answer>> {
         self.lock().joined.clone()
     }
 
-    fn peek(&self, place: usize) -> Option<Step> {
+    /// The frame at an index, or the end, if it has arrived. Marks the content as delivered when it returns a frame.
+    fn peek(&self, index: usize) -> Option<Step> {
         let mut inner = self.lock();
-        if let Some(frame) = inner.frames.get(place).cloned() {
-            // The last frame waits for the verdict, since the bill goes with it.
+        if let Some(frame) = inner.frames.get(index).cloned() {
+            // The last frame is held back until the verdict is known, since it is sent along with the bill.
             let last = frame.usage.is_some();
             if !last || inner.verdict.is_some() {
-                inner.shown = true;
+                inner.delivered = true;
                 return Some(Step::Frame(frame));
             }
         }
         inner.verdict.map(Step::End)
     }
 
-    /// The frame at a place, or the end; waits for it.
-    pub async fn step(&self, place: usize) -> Step {
-        let mut moved = self.moved.subscribe();
+    /// Waits for the frame at an index, or for the end of the answer.
+    pub async fn step(&self, index: usize) -> Step {
+        let mut changes = self.changed.subscribe();
         loop {
-            moved.borrow_and_update();
-            if let Some(step) = self.peek(place) {
+            changes.borrow_and_update();
+            if let Some(step) = self.peek(index) {
                 return step;
             }
-            // The sender lives as long as this answer, so this only returns on a change.
-            let _ = moved.changed().await;
+            // The sender lives as long as this answer, so this returns only after a change.
+            let _ = changes.changed().await;
         }
     }
 
-    /// Waits until there is something to say: a first frame, a verdict, or another to join.
+    /// Waits for a first frame, a verdict, or an answer to join; returns the joined answer, if any.
     pub async fn begun(&self) -> Option<Arc<Answer>> {
-        let mut moved = self.moved.subscribe();
+        let mut changes = self.changed.subscribe();
         loop {
-            moved.borrow_and_update();
+            changes.borrow_and_update();
             let joined = self.joined();
             if joined.is_some() || self.peek(0).is_some() {
                 return joined;
             }
-            let _ = moved.changed().await;
+            let _ = changes.changed().await;
         }
     }
 
     /// Waits for the verdict.
     pub async fn ended(&self) -> Verdict {
-        let mut moved = self.moved.subscribe();
+        let mut changes = self.changed.subscribe();
         loop {
-            moved.borrow_and_update();
+            changes.borrow_and_update();
             if let Some(verdict) = self.verdict() {
                 return verdict;
             }
-            let _ = moved.changed().await;
+            let _ = changes.changed().await;
         }
     }
 }
 
-/// All answers that are kept.
+/// The answers that are kept, by ticket.
 #[derive(Debug, Default)]
 pub struct Answers {
     by_ticket: Mutex<HashMap<Ticket, Arc<Answer>>>,
@@ -211,7 +216,7 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps an answer.
+    /// Adds an answer.
     pub fn insert(&self, ticket: Ticket, answer: Arc<Answer>) {
         self.lock().insert(ticket, answer);
     }
@@ -221,7 +226,7 @@
         self.lock().get(&ticket).cloned()
     }
 
-    /// Keeps an answer no longer.
+    /// Removes an answer.
     pub fn remove(&self, ticket: Ticket) -> Option<Arc<Answer>> {
         self.lock().remove(&ticket)
     }
--- a/src/router/http/chat.rs
+++ b/src/router/http/chat.rs
@@ -1,64 +1,64 @@
-//! The shape of a model call and of its answer.
+//! The bodies of a model call and of its answer.
 
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
 
-/// Most tokens that one call may ask for.
+/// Maximum number of tokens that a call may request.
 pub const TOKENS_MAX: i64 = 32_768;
-/// Tokens generated where the call does not say.
+/// Maximum number of generated tokens if the call sets none.
 const TOKENS_DEFAULT: i64 = 256;
 
-/// What is wrong with a call.
+/// The reason why a call is invalid.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// Not JSON, or not of this shape.
+    /// The body is not JSON, or lacks a field or has one of the wrong type.
     #[snafu(display("body: {source}"))]
     Json {
-        /// Where and why.
+        /// The position and the cause.
         source: serde_json::Error,
     },
     /// A field is out of range.
-    #[snafu(display("{field}: {wanted}"))]
+    #[snafu(display("{field}: {accepted}"))]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it accepts.
-        wanted: String,
+        /// The accepted values.
+        accepted: String,
     },
 }
 
 /// One message of the conversation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Message {
-    /// Who speaks.
+    /// The role of the speaker.
     pub role: String,
-    /// What is said.
+    /// The text.
     pub content: String,
 }
 
 #[derive(Deserialize)]
-struct Raw {
+struct UncheckedCall {
     model: String,
     messages: Vec<Message>,
     max_tokens: Option<i64>,
     stream: Option<bool>,
 }
 
-/// A checked call.
+/// A valid call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Call {
     /// The model.
     pub model: String,
     /// The conversation.
     pub messages: Vec<Message>,
-    /// Tokens to generate, at most.
+    /// Maximum number of tokens to generate.
     pub max_tokens: u64,
     /// Whether the answer is streamed.
     pub stream: bool,
 }
 
 impl Call {
-    /// The conversation as one text.
+    /// The conversation as a single text.
     pub fn prompt(&self) -> String {
         let mut prompt = String::new();
         for message in &self.messages {
@@ -71,32 +71,32 @@
     }
 }
 
-/// Reads and checks a call.
+/// Parses and validates a call.
 ///
 /// # Errors
-/// What is wrong, with the field and what it accepts.
+/// If the body does not parse or a field is out of range; the error names the field and the accepted values.
 pub fn parse(body: &[u8]) -> Result<Call, Error> {
-    let raw: Raw = serde_json::from_slice(body).context(JsonSnafu)?;
+    let raw: UncheckedCall = serde_json::from_slice(body).context(JsonSnafu)?;
     let max_tokens = raw.max_tokens.unwrap_or(TOKENS_DEFAULT);
     ensure!(
         (1..=TOKENS_MAX).contains(&max_tokens),
         FieldSnafu {
             field: "max_tokens",
-            wanted: format!("1 to {TOKENS_MAX}"),
+            accepted: format!("1 to {TOKENS_MAX}"),
         }
     );
     ensure!(
         !raw.messages.is_empty(),
         FieldSnafu {
             field: "messages",
-            wanted: "one message or more",
+            accepted: "one message or more",
         }
     );
     ensure!(
         crate::util::is_name(&raw.model),
         FieldSnafu {
             field: "model",
-            wanted: "1 to 64 letters, digits, dots, dashes or underscores",
+            accepted: "1 to 64 letters, digits, dots, dashes or underscores",
         }
     );
     Ok(Call {
@@ -107,55 +107,55 @@
     })
 }
 
-/// What a frame adds to the answer.
+/// The text that a frame adds to the answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// Text.
+    /// The text.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub content: Option<String>,
 }
 
-/// The one choice of a frame.
+/// The only choice of a frame.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Choice {
     /// Always 0.
     pub index: u32,
-    /// What it adds.
+    /// The added text.
     pub delta: Delta,
-    /// Why the answer ends here.
+    /// The reason why the answer ends, in its last frame.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub finish_reason: Option<String>,
 }
 
-/// What an answer used.
+/// The tokens used by a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub completion_tokens: u64,
-    /// Both.
+    /// The sum of both.
     pub total_tokens: u64,
 }
 
-/// One event of a streamed answer.
+/// The data of one event in a streamed answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Frame {
-    /// The request.
+    /// The request id.
     pub id: String,
-    /// The dispatch of it that this answers.
+    /// Number of the dispatch that this frame answers.
     pub attempt: u32,
-    /// The frame's place; the first is 0.
+    /// Index of the frame in the answer, starting at 0.
     pub index: u64,
-    /// One choice.
+    /// Always exactly one choice.
     pub choices: Vec<Choice>,
-    /// In the last frame only.
+    /// Set in the last frame only.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub usage: Option<Usage>,
 }
 
 impl Frame {
-    /// A frame with a word.
+    /// A frame with one word of the answer.
     pub fn word(id: &str, attempt: u32, index: u64, word: String) -> Self {
         let choice = Choice {
             delta: Delta {
@@ -166,7 +166,7 @@
         Self::new(id, attempt, index, choice, None)
     }
 
-    /// The last frame, after `index` words.
+    /// The last frame, which follows `index` words.
     pub fn last(id: &str, attempt: u32, index: u64, prompt_tokens: u64) -> Self {
         let choice = Choice {
             finish_reason: Some("length".to_owned()),
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The text that it adds.
+    /// The text that the frame adds to the answer.
     pub fn text(&self) -> &str {
         let content = self
             .choices
--- a/src/router/http/entry.rs
+++ b/src/router/http/entry.rs
@@ -1,25 +1,25 @@
-//! The answer to a caller that asks which addresses to use.
+//! The body of the answer to `GET /v1/entry`: the router addresses that a caller should use.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// One address of an entry answer.
+/// One router address in an entry answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Address {
-    /// Where to connect.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// What to make request ids of there: this, then eight hexadecimal digits of the caller's
-    /// own, below 80000000.
+    /// The prefix of request ids sent to this address. The caller appends eight hexadecimal digits of its own
+    /// choice, below 80000000.
     pub prefix: String,
 }
 
-/// Which addresses to use.
+/// The addresses that a caller should use.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Best first.
+    /// Sorted by preference, best first.
     #[serde(rename = "use")]
     pub addresses: Vec<Address>,
-    /// How long this may be kept, in milliseconds.
+    /// How long the caller may cache this answer, in milliseconds.
     pub keep_ms: u64,
 }
--- a/src/router/http/mod.rs
+++ b/src/router/http/mod.rs
@@ -1,4 +1,4 @@
-//! What HTTP requests and answers look like, and answers on their way from a target to callers.
+//! HTTP headers, request and response bodies, and the relay of answers from targets to callers.
 
 pub mod answer;
 pub mod chat;
@@ -13,7 +13,7 @@
 use volo_http::context::ServerContext;
 use volo_http::server::extract::FromContext;
 
-/// A request's headers, for handlers.
+/// Extractor of a request's headers, for handlers.
 #[derive(Clone, Debug)]
 pub struct Headers(pub HeaderMap);
 
@@ -29,19 +29,19 @@
 pub const REQUEST_ID: &str = "lanedeck-request-id";
 /// Header with the verdict: `ran`, `not_run` or `may_have_run`.
 pub const VERDICT: &str = "lanedeck-verdict";
-/// Header with what a request was billed, in tokens.
+/// Header with the number of tokens billed for a request.
 pub const BILLED: &str = "lanedeck-billed";
 /// Header with the reason of a refusal.
 pub const REASON: &str = "lanedeck-reason";
-/// Header with the class that a caller wants.
+/// Header with the service class that a caller requests.
 pub const CLASS: &str = "lanedeck-class";
-/// Header with the budget that pays.
+/// Header with the budget that is charged.
 pub const BUDGET: &str = "lanedeck-budget";
-/// Header that says whether a request may run twice: `yes` or `no`.
+/// Header that states whether a request may run more than once: `yes` or `no`.
 pub const REPEATABLE: &str = "lanedeck-repeatable";
-/// Header that counts the dispatches of a request, towards targets.
+/// Header with the number of this dispatch of a request, sent to targets.
 pub const ATTEMPT: &str = "lanedeck-attempt";
-/// Header with the fence of an order, towards targets.
+/// Header with the fence of an order, sent to targets.
 pub const FENCE: &str = "lanedeck-fence";
-/// Header with the rank of the class, towards targets.
+/// Header with the rank of the class, sent to targets.
 pub const RANK: &str = "lanedeck-rank";
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -1,8 +1,7 @@
-//! One dispatch: the request to the target, and the answer back, checked frame by frame.
+//! Sends one dispatch of a request to its target and receives the answer, checking it frame by frame.
 //!
-//! The client library does not repeat a request by itself. A request that may not be repeated
-//! goes over a connection of its own, since a kept one may have been closed by the target
-//! meanwhile, and then nobody knows whether it ran.
+//! The client library does not retry a request by itself. A request that is not repeatable uses a new connection:
+//! the target may have closed a pooled one in the meantime, and then it is unknown whether the request ran.
 
 use std::time::{Duration, Instant};
 
@@ -22,111 +21,120 @@
 use crate::router::request::Id;
 use crate::units::{Millis, Tokens};
 
-/// Times in a row that a broken stream is resumed without anything new. With 4, streams were given up
+/// Maximum number of consecutive resumes of a broken stream that bring no new frame. With 4, streams were given up
 /// within 0.2 s where timers run late (docs/FINDINGS.md, bad_streams).
 const RESUMES_MAX: u32 = 8;
-/// Wait before a stream is resumed; it doubles while nothing new comes.
-const RESUME_WAIT: Duration = Duration::from_millis(50);
-/// Longest wait before a stream is resumed.
-const RESUME_WAIT_MAX: Duration = Duration::from_millis(400);
-/// Connections kept to one target.
-const IDLE_MAX: usize = 64;
-/// Longest wait for the answer to a question about load or about a request.
-const QUESTION_WAIT: Duration = Duration::from_secs(2);
+/// Delay before a stream is resumed; it doubles with each consecutive resume that brings no new frame.
+const RESUME_DELAY: Duration = Duration::from_millis(50);
+/// Maximum delay before a stream is resumed.
+const RESUME_DELAY_MAX: Duration = Duration::from_millis(400);
+/// Maximum number of idle connections kept open to one target.
+const IDLE_CONNECTIONS_MAX: usize = 64;
+/// Timeout of a query to a target for its load or for the state of a request.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 type Client = volo_http::client::Client;
 
-/// Clients towards targets.
+/// HTTP clients for requests to targets.
 #[derive(Clone)]
 pub struct Relay {
-    kept: Client,
-    single: Client,
-    /// Longest silence of a target in the midst of an answer.
+    /// Keeps idle connections open and reuses them.
+    pooled: Client,
+    /// Opens a new connection for each request.
+    unpooled: Client,
+    /// Maximum time without data from a target during a request.
     silence: Duration,
 }
 
-/// One dispatch.
+/// One dispatch of a request to a target.
 #[derive(Clone, Copy, Debug)]
 pub struct Dispatch {
-    /// The request.
+    /// Id of the request.
     pub id: Id,
-    /// Which dispatch of it this is.
+    /// Number of this dispatch among those of the request.
     pub attempt: u32,
-    /// Where to.
+    /// The chosen target.
     pub choice: Choice,
-    /// Rank of its class.
+    /// Rank of the request's class.
     pub rank: u8,
 }
 
-/// What became of a request, as its target tells it.
+/// The state of a request, as reported by its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fate {
-    /// Whether it ran or runs there.
+    /// Whether the request ran or is running there.
     pub ran: bool,
-    /// Whether it is done.
+    /// Whether the request has finished.
     pub done: bool,
-    /// Tokens used.
+    /// Tokens used so far.
     pub used: u64,
 }
 
-/// A target's report of its load. The events of its cache, which it tells as well, are not used.
+/// A target's load report. Targets also report cache events, which are not used.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests that it has.
+    /// Number of requests at the target.
     pub running: u32,
-    /// Where its cache events go on, so that it does not tell them all again.
+    /// Offset of the next cache event, so that the target does not send the earlier ones again.
     pub next: usize,
 }
 
-/// How a stream of frames ended.
-enum Read {
-    Whole,
+/// How the reading of a stream ended.
+enum ReadOutcome {
+    /// With the last frame of the answer.
+    Complete,
+    /// Before it.
     Broken,
 }
 
-/// What came of asking for the rest of a stream.
-enum Resumed {
-    /// The rest.
+/// The outcome of a request to resume a stream.
+enum ResumeOutcome {
+    /// The target sends the rest of the stream.
     Stream(Response),
-    /// The target knows nothing of it, or cannot resume.
+    /// The target does not know the request, or cannot resume it.
     Unknown,
-    /// No answer.
+    /// The target did not answer.
     Unreachable,
 }
 
-/// What was seen of a streamed answer so far.
+/// The part of a streamed answer that was received so far.
 struct Progress {
+    /// Index of the next frame.
     next: u64,
+    /// Tokens used.
     used: u64,
+    /// Number of frames dropped.
     dropped: u32,
 }
 
 impl Relay {
-    /// Clients that wait this long for a silent target.
+    /// Creates clients that wait at most `silence` for data from a target.
     pub fn new(silence: Duration) -> Self {
-        let build = |idle: usize| {
+        let build = |idle_max: usize| {
             let mut builder = volo_http::client::Client::builder();
             builder.set_connect_timeout(Duration::from_secs(1));
             builder.set_pool_idle_timeout(Duration::from_secs(20));
-            builder.set_max_idle_per_host(idle);
-            builder.build().expect("the client's settings are constant")
+            builder.set_max_idle_per_host(idle_max);
+            builder
+                .build()
+                .expect("the client is built from constant settings")
         };
         Self {
-            kept: build(IDLE_MAX),
-            single: build(0),
+            pooled: build(IDLE_CONNECTIONS_MAX),
+            unpooled: build(0),
             silence,
         }
     }
 
-    /// Sends a request and takes its answer in. `seen` is told the time since the arrival of each
-    /// frame that counts.
-    pub async fn run(&self, answer: &Answer, dispatch: Dispatch, seen: impl Fn(u64)) -> End {
+    /// Sends a request to its target and stores what it answers in `answer`. Calls `on_frame` with the index of
+    /// each frame that is added to the answer.
+    pub async fn run(&self, answer: &Answer, dispatch: Dispatch, on_frame: impl Fn(u64)) -> End {
         match &answer.work {
             Work::Chat(call) => {
                 let mut call = call.clone();
                 call.stream = true;
-                let body = serde_json::to_vec(&call).expect("a call is plain data");
-                self.chat(answer, dispatch, body, seen).await
+                let body = serde_json::to_vec(&call).expect("a call always serializes");
+                self.chat(answer, dispatch, body, on_frame).await
             }
             Work::Service(body) => self.service(answer, dispatch, body.to_vec()).await,
         }
@@ -139,7 +147,11 @@
         dispatch: Dispatch,
         body: Vec<u8>,
     ) -> Result<Response, End> {
-        let client = if repeatable { &self.kept } else { &self.single };
+        let client = if repeatable {
+            &self.pooled
+        } else {
+            &self.unpooled
+        };
         let request = client
             .post(format!("http://{}{path}", dispatch.choice.address))
             .header(http::header::CONTENT_TYPE, "application/json")
@@ -184,11 +196,11 @@
         };
         let status = response.status();
         let id = dispatch.id.to_string();
-        let ours = response
+        let id_matches = response
             .headers()
             .get(REQUEST_ID)
             .is_none_or(|value| value == id.as_str());
-        if status.is_server_error() || !ours {
+        if status.is_server_error() || !id_matches {
             return broken;
         }
         let body = tokio::time::timeout(self.silence, response.into_body().into_bytes()).await;
@@ -207,7 +219,7 @@
         answer: &Answer,
         dispatch: Dispatch,
         body: Vec<u8>,
-        seen: impl Fn(u64),
+        on_frame: impl Fn(u64),
     ) -> End {
         let start = Instant::now();
         let mut progress = Progress {
@@ -223,13 +235,14 @@
             Ok(response) => Some(response),
             Err(end) => return end,
         };
-        let mut idle = 0;
+        // Consecutive resumes that brought no new frame.
+        let mut without_progress = 0;
         loop {
             let before = progress.next;
             if let Some(stream) = response.take()
                 && let Ok(reader) = stream.into_sse()
-                && let Read::Whole = self
-                    .read(answer, dispatch, reader, &mut progress, &seen)
+                && let ReadOutcome::Complete = self
+                    .read(answer, dispatch, reader, &mut progress, &on_frame)
                     .await
             {
                 return End::Complete {
@@ -237,15 +250,19 @@
                     whole: millis(start),
                 };
             }
-            idle = if progress.next > before { 0 } else { idle + 1 };
-            if idle > RESUMES_MAX {
+            without_progress = if progress.next > before {
+                0
+            } else {
+                without_progress + 1
+            };
+            if without_progress > RESUMES_MAX {
                 break;
             }
-            tokio::time::sleep(resume_wait(idle)).await;
+            tokio::time::sleep(resume_delay(without_progress)).await;
             match self.resume(dispatch, progress.next).await {
-                Resumed::Stream(stream) => response = Some(stream),
-                Resumed::Unknown => break,
-                Resumed::Unreachable => {}
+                ResumeOutcome::Stream(stream) => response = Some(stream),
+                ResumeOutcome::Unknown => break,
+                ResumeOutcome::Unreachable => {}
             }
         }
         let shown = answer.take_back();
@@ -255,26 +272,26 @@
         }
     }
 
-    /// Takes frames in dispatch; one of another request, of another attempt, or seen before is
-    /// dropped, and a gap ends the reading, to be resumed from there.
+    /// Adds the frames of a stream to the answer in order. Drops frames of another request or attempt and frames
+    /// that were received before; stops at a gap, so that the stream is resumed from there.
     async fn read(
         &self,
         answer: &Answer,
         dispatch: Dispatch,
         mut reader: SseReader<Body>,
         progress: &mut Progress,
-        seen: &impl Fn(u64),
-    ) -> Read {
+        on_frame: &impl Fn(u64),
+    ) -> ReadOutcome {
         let id = dispatch.id.to_string();
         loop {
             let event = tokio::time::timeout(self.silence, reader.read()).await;
             let Ok(Ok(Some(event))) = event else {
-                return Read::Broken;
+                return ReadOutcome::Broken;
             };
-            // An event without data is no frame, and ends the reading below.
+            // An event without data does not parse as a frame, which ends the reading below.
             let data = event.data().unwrap_or("");
             let Ok(frame) = serde_json::from_str::<Frame>(data) else {
-                return Read::Broken;
+                return ReadOutcome::Broken;
             };
             if frame.id != id || frame.attempt != dispatch.attempt || frame.index < progress.next {
                 progress.dropped += 1;
@@ -282,7 +299,7 @@
                 continue;
             }
             if frame.index > progress.next {
-                return Read::Broken;
+                return ReadOutcome::Broken;
             }
             progress.next += 1;
             match frame.usage {
@@ -290,44 +307,46 @@
                 None => progress.used += 1,
             }
             let last = frame.usage.is_some();
-            seen(frame.index);
+            on_frame(frame.index);
             answer.push(frame);
             if last {
-                return Read::Whole;
+                return ReadOutcome::Complete;
             }
         }
     }
 
-    async fn resume(&self, dispatch: Dispatch, from: u64) -> Resumed {
+    /// Requests the rest of a stream, from the frame with index `from` on.
+    async fn resume(&self, dispatch: Dispatch, from: u64) -> ResumeOutcome {
         let address = dispatch.choice.address;
         let uri = format!("http://{address}/v1/requests/{}/stream/{from}", dispatch.id);
-        // Kept connections may have been cut with this one, and each try would find another of them.
-        let sent = tokio::time::timeout(self.silence, self.single.get(uri).send()).await;
+        // The fault that cut this stream may have cut pooled connections too, and each try would pick another such
+        // connection.
+        let sent = tokio::time::timeout(self.silence, self.unpooled.get(uri).send()).await;
         let (resumed, outcome) = match sent {
             Ok(Ok(response)) if response.status().is_success() => {
-                (Resumed::Stream(response), "resumed".to_owned())
+                (ResumeOutcome::Stream(response), "resumed".to_owned())
             }
-            Ok(Ok(response)) => (Resumed::Unknown, response.status().to_string()),
-            Ok(Err(error)) => (Resumed::Unreachable, error.to_string()),
-            Err(_) => (Resumed::Unreachable, "silent".to_owned()),
+            Ok(Ok(response)) => (ResumeOutcome::Unknown, response.status().to_string()),
+            Ok(Err(error)) => (ResumeOutcome::Unreachable, error.to_string()),
+            Err(_) => (ResumeOutcome::Unreachable, "silent".to_owned()),
         };
         tracing::info!(event = "stream_resumed", request = %dispatch.id, %address, from, outcome);
         resumed
     }
 
-    /// Asks a target for its load and its cache events since `from`.
+    /// Queries a target for its load and its cache events from offset `from` on.
     pub async fn load(&self, address: std::net::SocketAddr, from: usize) -> Option<Load> {
         self.get(format!("http://{address}/v1/load/{from}")).await
     }
 
-    /// Asks a target what became of a request.
+    /// Queries a target for the state of a request.
     pub async fn fate(&self, address: std::net::SocketAddr, id: Id) -> Option<Fate> {
         self.get(format!("http://{address}/v1/requests/{id}")).await
     }
 
-    /// Asks a target for JSON; `None` where it gives none.
+    /// Queries a target for JSON; `None` if the query fails or the target has no answer.
     async fn get<T: serde::de::DeserializeOwned>(&self, uri: String) -> Option<T> {
-        match tokio::time::timeout(QUESTION_WAIT, self.fetch(&uri)).await {
+        match tokio::time::timeout(QUERY_TIMEOUT, self.fetch(&uri)).await {
             Ok(Ok(answer)) => answer,
             Ok(Err(error)) => {
                 tracing::debug!(event = "target_question_failed", %uri, %error);
@@ -344,7 +363,7 @@
         &self,
         uri: &str,
     ) -> Result<Option<T>, volo_http::error::BoxError> {
-        let response = self.kept.get(uri).send().await?;
+        let response = self.pooled.get(uri).send().await?;
         if response.status() != StatusCode::OK {
             return Ok(None);
         }
@@ -353,14 +372,14 @@
     }
 }
 
-/// How long is waited before a stream is resumed that was resumed in vain so many times.
-fn resume_wait(idle: u32) -> Duration {
-    RESUME_WAIT
-        .saturating_mul(1 << idle.saturating_sub(1))
-        .min(RESUME_WAIT_MAX)
+/// The delay before a stream is resumed, after `without_progress` consecutive resumes without a new frame.
+fn resume_delay(without_progress: u32) -> Duration {
+    RESUME_DELAY
+        .saturating_mul(1 << without_progress.saturating_sub(1))
+        .min(RESUME_DELAY_MAX)
 }
 
-/// The kind of target that work is for.
+/// The kind of target that runs this work.
 pub fn kind(work: &Work) -> Kind {
     match work {
         Work::Chat(_) => Kind::Engine,
--- a/src/router/http/reply.rs
+++ b/src/router/http/reply.rs
@@ -1,5 +1,5 @@
-//! Replies: each carries the verdict, the request id, and on refusal a reason and when to come
-//! back.
+//! Replies to callers. Each carries the verdict and the request id; a refusal also carries a reason and the time
+//! after which to retry.
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode, header};
 use serde::Serialize;
@@ -11,22 +11,21 @@
 use crate::router::request::{Id, Reason, Verdict};
 use crate::units::Millis;
 
-/// When to come back after a request that may have run, with the same id.
-const ASK_AGAIN: Millis = Millis(1_000);
-/// When to come back after a stopping router has refused a question. Another router
-/// answers at once.
+/// Retry delay after a request that may have run; the retry uses the same id.
+const UNCERTAIN_RETRY: Millis = Millis(1_000);
+/// Retry delay after a refusal by a stopping router. Another router answers at once.
 const STOPPING_RETRY: Millis = Millis(1_000);
-/// When to come back after a router has refused a question that has just been started. It reads the
-/// log in a fraction of that where the log answers.
+/// Retry delay after a refusal by a router that has just started. It reads the log in a fraction of that time if the
+/// log is reachable.
 const STARTING_RETRY: Millis = Millis(1_000);
 
 /// A JSON reply.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
-    let body = serde_json::to_vec(value).expect("replies are plain data");
+    let body = serde_json::to_vec(value).expect("a reply always serializes");
     bytes(status, body.into())
 }
 
-/// A reply with a JSON body made elsewhere.
+/// A reply with a body that is already JSON.
 pub fn bytes(status: StatusCode, body: bytes::Bytes) -> Response {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = status;
@@ -38,19 +37,19 @@
     response
 }
 
-/// Something that is wrong with the question itself: nothing was run or billed.
+/// An error in the request itself, because of which nothing was run or billed.
 #[derive(Clone, Debug)]
 pub struct Wrong {
-    /// The reply's status.
+    /// The HTTP status of the reply.
     pub status: StatusCode,
-    /// What is wrong, in a word.
+    /// The kind of error, as a single word.
     pub kind: &'static str,
-    /// What is wrong and what is accepted.
+    /// Describes the error and the accepted values.
     pub message: String,
 }
 
 impl Wrong {
-    /// Something wrong, with what is accepted.
+    /// Creates an error with the given status.
     pub fn new(status: StatusCode, kind: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
         Self {
@@ -60,12 +59,12 @@
         }
     }
 
-    /// A field of the question that is wrong.
+    /// Creates an error about an invalid field, with status 400.
     pub fn field(kind: &'static str, message: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, kind, message)
     }
 
-    /// The reply.
+    /// The reply for this error.
     pub fn reply(&self) -> Response {
         let body = json!({
             "error": { "type": self.kind, "message": self.message },
@@ -78,13 +77,13 @@
     }
 }
 
-/// A refusal of a question that a stopping router does not answer any more.
+/// The refusal of a request that a stopping router no longer accepts.
 pub fn stopping() -> Response {
     let message = "this router is about to stop: use another; nothing was done";
     unavailable(Reason::Stopping, message, STOPPING_RETRY)
 }
 
-/// A refusal of a question that a router cannot answer before it has read the log.
+/// The refusal of a request that a router cannot answer before it has read the log.
 pub fn starting() -> Response {
     let message = "this router has not read the log yet: nothing was done";
     unavailable(Reason::Starting, message, STARTING_RETRY)
@@ -96,7 +95,7 @@
     response
 }
 
-/// A refusal of a request for a model or service.
+/// The refusal of a request to a model or service.
 pub fn refused(id: Id, verdict: &Verdict, serves: &str) -> Response {
     let reason = verdict.reason().unwrap_or(Reason::Unknown);
     let body = json!({
@@ -108,24 +107,24 @@
     response
 }
 
-/// What the last event of a stream, or the body of a reply, says of the verdict.
+/// The verdict as JSON, for the last event of a stream or the body of a reply.
 pub fn told(id: Id, verdict: &Verdict) -> Value {
-    let mut told = json!({ "verdict": verdict.word(), "request_id": id.to_string() });
+    let mut value = json!({ "verdict": verdict.word(), "request_id": id.to_string() });
     match verdict {
-        Verdict::Ran { billed } => told["billed"] = json!(billed),
+        Verdict::Ran { billed } => value["billed"] = json!(billed),
         Verdict::NotRun {
             reason,
             retry_after,
         } => {
-            told["reason"] = json!(reason);
-            told["retry_after_ms"] = json!(retry_after);
+            value["reason"] = json!(reason);
+            value["retry_after_ms"] = json!(retry_after);
         }
-        Verdict::MayHaveRun { reason } => told["reason"] = json!(reason),
+        Verdict::MayHaveRun { reason } => value["reason"] = json!(reason),
     }
-    told
+    value
 }
 
-/// Sets the headers that tell the verdict.
+/// Sets the headers that carry the request id and the verdict.
 pub fn head(headers: &mut HeaderMap, id: Id, verdict: &Verdict) {
     set(headers, REQUEST_ID, &id.to_string());
     set(headers, VERDICT, verdict.word());
@@ -135,16 +134,17 @@
     match verdict {
         Verdict::Ran { billed } => set(headers, BILLED, &billed.to_string()),
         Verdict::NotRun { retry_after, .. } => set_retry_after(headers, *retry_after),
-        Verdict::MayHaveRun { .. } => set_retry_after(headers, ASK_AGAIN),
+        Verdict::MayHaveRun { .. } => set_retry_after(headers, UNCERTAIN_RETRY),
     }
 }
 
+/// Sets the `Retry-After` header, rounded up to whole seconds and at least one.
 fn set_retry_after(headers: &mut HeaderMap, wait: Millis) {
     let seconds = wait.0.div_ceil(1_000).max(1);
     set(headers, header::RETRY_AFTER.as_str(), &seconds.to_string());
 }
 
-/// Sets a header of ours.
+/// Sets a header; does nothing if the name or the value is invalid.
 pub fn set(headers: &mut HeaderMap, name: &str, value: &str) {
     let name = HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
@@ -152,6 +152,7 @@
     }
 }
 
+/// The HTTP status of a refusal.
 fn status(verdict: &Verdict, reason: Reason) -> StatusCode {
     if matches!(verdict, Verdict::MayHaveRun { .. }) {
         return match reason {
@@ -169,6 +170,7 @@
     }
 }
 
+/// The message of a refusal.
 fn message(verdict: &Verdict, reason: Reason, serves: &str) -> String {
     let why = match reason {
         Reason::BudgetExhausted => "the budget has less left than this request may cost",
@@ -195,14 +197,14 @@
         Reason::Unknown => "the budget or class is not known here",
         Reason::UnknownModel => {
             let why = format!("no target is known for the model or service {serves}");
-            return said(verdict, &why);
+            return with_outcome(verdict, &why);
         }
     };
-    said(verdict, why)
+    with_outcome(verdict, why)
 }
 
-/// A reason with what the verdict promises.
-fn said(verdict: &Verdict, why: &str) -> String {
+/// Appends to a reason whether the request may have run and been billed.
+fn with_outcome(verdict: &Verdict, why: &str) -> String {
     match verdict {
         Verdict::MayHaveRun { .. } => format!("{why}; it may have run"),
         _ => format!("{why}; it did not run and was not billed"),
