--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -17,7 +17,7 @@
 use crate::router::http::chat::{Frame, Usage};
 use crate::router::http::entry::Entry;
 use crate::router::http::relay::kind;
-use crate::router::http::reply::Wrong;
+use crate::router::http::reply::RequestError;
 use crate::router::http::{BUDGET, CLASS, REPEATABLE, REQUEST_ID, chat, reply};
 use crate::router::request::{Id, Reason, Verdict};
 use crate::router::shared::Shared;
@@ -55,8 +55,14 @@
 }
 
 /// The name that a key proves; the secret is never logged.
-fn customer(shared: &Shared, headers: &HeaderMap) -> Result<String, Wrong> {
-    let denied = |message: &str| Err(Wrong::new(StatusCode::UNAUTHORIZED, "no_key", message));
+fn customer(shared: &Shared, headers: &HeaderMap) -> Result<String, RequestError> {
+    let denied = |message: &str| {
+        Err(RequestError::new(
+            StatusCode::UNAUTHORIZED,
+            "no_key",
+            message,
+        ))
+    };
     let Some(key) = text(headers, header::AUTHORIZATION.as_str()) else {
         return denied("authorization: wanted is 'Bearer CUSTOMER:SECRET'");
     };
@@ -72,7 +78,7 @@
         .customer(name)
         .map_or("", |customer| customer.key_hash.as_str());
     if !secret_matches(secret, stored) {
-        return Err(Wrong::new(
+        return Err(RequestError::new(
             StatusCode::FORBIDDEN,
             "wrong_key",
             "authorization: no customer has this name and secret",
@@ -81,7 +87,7 @@
     Ok(name.to_owned())
 }
 
-fn caller(shared: &Shared, headers: &HeaderMap, repeatable: bool) -> Result<Caller, Wrong> {
+fn caller(shared: &Shared, headers: &HeaderMap, repeatable: bool) -> Result<Caller, RequestError> {
     let customer = customer(shared, headers)?;
     let config = shared.config.load();
     let allowed = config
@@ -93,12 +99,12 @@
     let class = class.unwrap_or("").to_owned();
     if !allowed.contains(&class) {
         let message = format!("{CLASS}: one of {}", allowed.join(", "));
-        return Err(Wrong::field("class", message));
+        return Err(RequestError::bad_request("class", message));
     }
     let budget = text(headers, BUDGET).unwrap_or(&customer).to_owned();
     if !is_name(&budget) {
         let message = format!("{BUDGET}: 1 to 64 letters, digits, dots, dashes or underscores");
-        return Err(Wrong::field("budget", message));
+        return Err(RequestError::bad_request("budget", message));
     }
     Ok(Caller {
         customer,
@@ -109,14 +115,14 @@
     })
 }
 
-fn request_id(shared: &Shared, headers: &HeaderMap) -> Result<Id, Wrong> {
+fn request_id(shared: &Shared, headers: &HeaderMap) -> Result<Id, RequestError> {
     let Some(id) = text(headers, REQUEST_ID) else {
         return Ok(shared.own_id());
     };
     let wrong = |why: &str| {
         let message =
             format!("{REQUEST_ID}: {why}; the entry answer gives the first 25 characters");
-        Wrong::field("request_id", message)
+        RequestError::bad_request("request_id", message)
     };
     let id: Id = id.parse().map_err(wrong)?;
     if id.nonce & 0xffff_ffff >= NUMBERS {
@@ -125,14 +131,14 @@
     Ok(id)
 }
 
-fn is_repeatable(headers: &HeaderMap, default: bool) -> Result<bool, Wrong> {
+fn is_repeatable(headers: &HeaderMap, default: bool) -> Result<bool, RequestError> {
     match text(headers, REPEATABLE) {
         None => Ok(default),
         Some("yes") => Ok(true),
         Some("no") => Ok(false),
         Some(_) => {
             let message = format!("{REPEATABLE}: yes or no");
-            Err(Wrong::field("repeatable", message))
+            Err(RequestError::bad_request("repeatable", message))
         }
     }
 }
@@ -144,12 +150,12 @@
     }
     let caller = match caller(&shared, &headers, true) {
         Ok(caller) => caller,
-        Err(wrong) => return wrong.reply(),
+        Err(error) => return error.reply(),
     };
     let call = match chat::parse(&body) {
         Ok(call) => call,
         Err(error) => {
-            return Wrong::field("body", error.to_string()).reply();
+            return RequestError::bad_request("body", error.to_string()).reply();
         }
     };
     let (streamed, model) = (call.stream, call.model.clone());
@@ -187,7 +193,7 @@
     }
     let caller = match caller(&shared, &headers, false) {
         Ok(caller) => caller,
-        Err(wrong) => return wrong.reply(),
+        Err(error) => return error.reply(),
     };
     let work = Work::Service(body.clone());
     let answer = submit(&shared, &caller, work, &body, &name, Tokens::ZERO);
@@ -349,7 +355,7 @@
     }
     let customer = match customer(&shared, &headers) {
         Ok(customer) => customer,
-        Err(wrong) => return wrong.reply(),
+        Err(error) => return error.reply(),
     };
     match shared.entries(customer).await {
         Some(addresses) => {
--- a/src/router/api/operator.rs
+++ b/src/router/api/operator.rs
@@ -11,7 +11,7 @@
 use crate::router::config::Intent;
 use crate::router::control::{Action, Input};
 use crate::router::http::reply;
-use crate::router::http::reply::Wrong;
+use crate::router::http::reply::RequestError;
 use crate::router::intent::{Outcome, Plan, Refused};
 use crate::router::shared::Shared;
 use crate::util::secret_matches;
@@ -19,13 +19,17 @@
 /// Name in an operator's key, before the colon.
 const OPERATOR: &str = "operator";
 
-fn check(shared: &Shared, headers: &HeaderMap) -> Result<(), Wrong> {
+fn check(shared: &Shared, headers: &HeaderMap) -> Result<(), RequestError> {
     let key = headers
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok());
     let Some(key) = key.and_then(|key| key.strip_prefix("Bearer ")) else {
         let message = "authorization: wanted is 'Bearer operator:SECRET'";
-        return Err(Wrong::new(StatusCode::UNAUTHORIZED, "no_key", message));
+        return Err(RequestError::new(
+            StatusCode::UNAUTHORIZED,
+            "no_key",
+            message,
+        ));
     };
     let secret = key.split_once(':').filter(|(name, _)| *name == OPERATOR);
     let secret = secret.map_or("", |(_, secret)| secret);
@@ -33,18 +37,23 @@
         return Ok(());
     }
     let message = "authorization: this is not an operator's key";
-    Err(Wrong::new(StatusCode::FORBIDDEN, "wrong_key", message))
+    Err(RequestError::new(
+        StatusCode::FORBIDDEN,
+        "wrong_key",
+        message,
+    ))
 }
 
-fn parse<T: serde::de::DeserializeOwned>(body: &Bytes) -> Result<T, Wrong> {
-    serde_json::from_slice(body).map_err(|error| Wrong::field("body", format!("body: {error}")))
+fn parse<T: serde::de::DeserializeOwned>(body: &Bytes) -> Result<T, RequestError> {
+    serde_json::from_slice(body)
+        .map_err(|error| RequestError::bad_request("body", format!("body: {error}")))
 }
 
 /// `POST /v1/intents`: a plan, of which nothing takes effect before it is confirmed.
 pub async fn intent(shared: Arc<Shared>, headers: HeaderMap, body: Bytes) -> Response {
     let intent: Intent = match check(&shared, &headers).and_then(|()| parse(&body)) {
         Ok(intent) => intent,
-        Err(wrong) => return wrong.reply(),
+        Err(error) => return error.reply(),
     };
     match shared.ask(|token| Input::Intent { token, intent }).await {
         Some(Action::Planned {
@@ -53,7 +62,7 @@
         }) => reply::json(StatusCode::OK, &proposal),
         Some(Action::Planned {
             result: Err(error), ..
-        }) => Wrong::new(
+        }) => RequestError::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             "intent",
             error.to_string(),
@@ -75,7 +84,7 @@
 pub async fn confirm(shared: Arc<Shared>, headers: HeaderMap, body: Bytes) -> Response {
     let plan: Plan = match check(&shared, &headers).and_then(|()| parse(&body)) {
         Ok(plan) => plan,
-        Err(wrong) => return wrong.reply(),
+        Err(error) => return error.reply(),
     };
     let Some(Action::Confirmed { outcome, .. }) =
         shared.ask(|token| Input::Confirm { token, plan }).await
@@ -115,8 +124,8 @@
 
 /// `GET /v1/status`
 pub async fn status(shared: Arc<Shared>, headers: HeaderMap) -> Response {
-    if let Err(wrong) = check(&shared, &headers) {
-        return wrong.reply();
+    if let Err(error) = check(&shared, &headers) {
+        return error.reply();
     }
     match shared.ask(|token| Input::Status { token }).await {
         Some(Action::Status { status, .. }) => reply::json(StatusCode::OK, &status),
@@ -126,8 +135,8 @@
 
 /// `GET /v1/config`: all objects in force, with their versions.
 pub async fn config(shared: Arc<Shared>, headers: HeaderMap) -> Response {
-    if let Err(wrong) = check(&shared, &headers) {
-        return wrong.reply();
+    if let Err(error) = check(&shared, &headers) {
+        return error.reply();
     }
     let config = shared.config.load();
     let items: Vec<_> = config
@@ -139,21 +148,21 @@
 
 /// `GET /v1/burn`
 pub async fn burn(shared: Arc<Shared>, headers: HeaderMap) -> Response {
-    if let Err(wrong) = check(&shared, &headers) {
-        return wrong.reply();
+    if let Err(error) = check(&shared, &headers) {
+        return error.reply();
     }
     reply::json(StatusCode::OK, &shared.metrics.export())
 }
 
 /// `GET /v1/explain/{id}`
 pub async fn explain(shared: Arc<Shared>, id: String, headers: HeaderMap) -> Response {
-    if let Err(wrong) = check(&shared, &headers) {
-        return wrong.reply();
+    if let Err(error) = check(&shared, &headers) {
+        return error.reply();
     }
     let steps = id.parse().ok().and_then(|id| shared.trail.get(id));
     match steps {
         Some(steps) => reply::json(StatusCode::OK, &steps),
-        None => Wrong::new(
+        None => RequestError::new(
             StatusCode::NOT_FOUND,
             "unknown",
             "this router knows no such request",
--- a/src/router/entry.rs
+++ b/src/router/entry.rs
@@ -112,7 +112,9 @@
                 Err(too_large())
             }
             // The caller has left, or has sent what is no body.
-            Err(error) => Err(reply::Wrong::field("body", format!("body: {error}")).reply()),
+            Err(error) => {
+                Err(reply::RequestError::bad_request("body", format!("body: {error}")).reply())
+            }
         }
     }
 
--- a/src/router/http/reply.rs
+++ b/src/router/http/reply.rs
@@ -37,9 +37,9 @@
     response
 }
 
-/// An error in the request itself, because of which nothing was run or billed.
+/// The error of a request that was rejected before anything was run or billed.
 #[derive(Clone, Debug)]
-pub struct Wrong {
+pub struct RequestError {
     /// The HTTP status of the reply.
     pub status: StatusCode,
     /// The kind of error, as a single word.
@@ -48,7 +48,7 @@
     pub message: String,
 }
 
-impl Wrong {
+impl RequestError {
     /// Creates an error with the given status.
     pub fn new(status: StatusCode, kind: &'static str, message: impl Into<String>) -> Self {
         let message = message.into();
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Creates an error about an invalid field, with status 400.
-    pub fn field(kind: &'static str, message: impl Into<String>) -> Self {
+    /// Creates an error with status 400.
+    pub fn bad_request(kind: &'static str, message: impl Into<String>) -> Self {
         Self::new(StatusCode::BAD_REQUEST, kind, message)
     }
 
@@ -90,7 +90,8 @@
 }
 
 fn unavailable(reason: Reason, message: &str, retry: Millis) -> Response {
-    let mut response = Wrong::new(StatusCode::SERVICE_UNAVAILABLE, reason.word(), message).reply();
+    let mut response =
+        RequestError::new(StatusCode::SERVICE_UNAVAILABLE, reason.word(), message).reply();
     set_retry_after(response.headers_mut(), retry);
     response
 }
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -634,7 +634,7 @@
 
 #[test]
 fn refusal_body() {
-    let wrong = reply::Wrong::field("max_tokens", "max_tokens: 1 to 9");
+    let wrong = reply::RequestError::bad_request("max_tokens", "max_tokens: 1 to 9");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .build()
         .unwrap();
