--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -202,7 +202,7 @@
     match (answer.whole(), verdict) {
         (Some(whole), Verdict::Ran { .. }) => {
             let mut response = reply::bytes(whole.status, whole.body);
-            reply::head(response.headers_mut(), caller.id, &verdict);
+            reply::set_verdict_headers(response.headers_mut(), caller.id, &verdict);
             response
         }
         _ => reply::refused(caller.id, &verdict, &name),
@@ -262,7 +262,7 @@
 fn stream(id: Id, answer: Arc<Answer>) -> Response {
     let events = events(id, answer);
     let mut response = Sse::new(events).into_response();
-    reply::set(response.headers_mut(), REQUEST_ID, &id.to_string());
+    reply::set_header(response.headers_mut(), REQUEST_ID, &id.to_string());
     response
 }
 
@@ -302,14 +302,14 @@
 
 fn last(frame: &Frame, id: Id, verdict: &Verdict) -> Event {
     let mut value = serde_json::to_value(frame).expect("frames are plain data");
-    value["lanedeck"] = reply::told(id, verdict);
+    value["lanedeck"] = reply::verdict_json(id, verdict);
     Event::new().data(value.to_string().as_str())
 }
 
 fn broken(id: Id, verdict: &Verdict) -> Event {
     let value = json!({
         "error": { "type": verdict.reason(), "message": "the answer broke off here" },
-        "lanedeck": reply::told(id, verdict),
+        "lanedeck": reply::verdict_json(id, verdict),
     });
     Event::new().event("error").data(value.to_string().as_str())
 }
@@ -341,10 +341,10 @@
             "finish_reason": "length",
         }],
         "usage": usage,
-        "lanedeck": reply::told(id, &verdict),
+        "lanedeck": reply::verdict_json(id, &verdict),
     });
     let mut response = reply::json(StatusCode::OK, &body);
-    reply::head(response.headers_mut(), id, &verdict);
+    reply::set_verdict_headers(response.headers_mut(), id, &verdict);
     response
 }
 
--- a/src/router/http/reply.rs
+++ b/src/router/http/reply.rs
@@ -29,7 +29,7 @@
 pub fn bytes(status: StatusCode, body: bytes::Bytes) -> Response {
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = status;
-    set(
+    set_header(
         response.headers_mut(),
         header::CONTENT_TYPE.as_str(),
         "application/json",
@@ -71,8 +71,8 @@
             "lanedeck": { "verdict": "not_run", "reason": self.kind },
         });
         let mut response = json(self.status, &body);
-        set(response.headers_mut(), VERDICT, "not_run");
-        set(response.headers_mut(), REASON, self.kind);
+        set_header(response.headers_mut(), VERDICT, "not_run");
+        set_header(response.headers_mut(), REASON, self.kind);
         response
     }
 }
@@ -101,15 +101,15 @@
     let reason = verdict.reason().unwrap_or(Reason::Unknown);
     let body = json!({
         "error": { "type": reason.word(), "message": message(verdict, reason, serves) },
-        "lanedeck": told(id, verdict),
+        "lanedeck": verdict_json(id, verdict),
     });
     let mut response = json(status(verdict, reason), &body);
-    head(response.headers_mut(), id, verdict);
+    set_verdict_headers(response.headers_mut(), id, verdict);
     response
 }
 
 /// The verdict as JSON, for the last event of a stream or the body of a reply.
-pub fn told(id: Id, verdict: &Verdict) -> Value {
+pub fn verdict_json(id: Id, verdict: &Verdict) -> Value {
     let mut value = json!({ "verdict": verdict.word(), "request_id": id.to_string() });
     match verdict {
         Verdict::Ran { billed } => value["billed"] = json!(billed),
@@ -126,14 +126,14 @@
 }
 
 /// Sets the headers that carry the request id and the verdict.
-pub fn head(headers: &mut HeaderMap, id: Id, verdict: &Verdict) {
-    set(headers, REQUEST_ID, &id.to_string());
-    set(headers, VERDICT, verdict.word());
+pub fn set_verdict_headers(headers: &mut HeaderMap, id: Id, verdict: &Verdict) {
+    set_header(headers, REQUEST_ID, &id.to_string());
+    set_header(headers, VERDICT, verdict.word());
     if let Some(reason) = verdict.reason() {
-        set(headers, REASON, reason.word());
+        set_header(headers, REASON, reason.word());
     }
     match verdict {
-        Verdict::Ran { billed } => set(headers, BILLED, &billed.to_string()),
+        Verdict::Ran { billed } => set_header(headers, BILLED, &billed.to_string()),
         Verdict::NotRun { retry_after, .. } => set_retry_after(headers, *retry_after),
         Verdict::MayHaveRun { .. } => set_retry_after(headers, UNCERTAIN_RETRY),
     }
@@ -142,11 +142,11 @@
 /// Sets the `Retry-After` header, rounded up to whole seconds and at least one.
 fn set_retry_after(headers: &mut HeaderMap, wait: Millis) {
     let seconds = wait.0.div_ceil(1_000).max(1);
-    set(headers, header::RETRY_AFTER.as_str(), &seconds.to_string());
+    set_header(headers, header::RETRY_AFTER.as_str(), &seconds.to_string());
 }
 
 /// Sets a header; does nothing if the name or the value is invalid.
-pub fn set(headers: &mut HeaderMap, name: &str, value: &str) {
+pub fn set_header(headers: &mut HeaderMap, name: &str, value: &str) {
     let name = HeaderName::from_bytes(name.as_bytes());
     if let (Ok(name), Ok(value)) = (name, HeaderValue::from_str(value)) {
         headers.insert(name, value);
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -530,7 +530,7 @@
     ];
     let told: Vec<_> = verdicts
         .iter()
-        .map(|verdict| reply::told(ID, verdict))
+        .map(|verdict| reply::verdict_json(ID, verdict))
         .collect();
     pin_json(
         "[{\"billed\":9,\"request_id\":\"0102030405060708.0000000200000009\",\"verdict\":\"ran\"},{\"reason\":\"no_target\",\"request_id\":\"0102030405060708.0000000200000009\",\"retry_after_ms\":250,\"verdict\":\"not_run\"},{\"reason\":\"target_failed\",\"request_id\":\"0102030405060708.0000000200000009\",\"verdict\":\"may_have_run\"}]",
@@ -540,7 +540,7 @@
         .iter()
         .map(|verdict| {
             let mut headers = http::HeaderMap::new();
-            reply::head(&mut headers, ID, verdict);
+            reply::set_verdict_headers(&mut headers, ID, verdict);
             let mut lines: Vec<String> = headers
                 .iter()
                 .map(|(name, value)| format!("{name}: {}", value.to_str().unwrap()))
