--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -92,9 +92,9 @@
     fn inquire(&self, id: Id, request: Id, target: SocketAddr) {
         let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
-            let fate = relay.fate(target, request).await;
-            if let Some(fate) = fate.filter(|fate| fate.ran && fate.done) {
-                let used = Tokens(fate.used);
+            let state = relay.request_state(target, request).await;
+            if let Some(state) = state.filter(|state| state.ran && state.done) {
+                let used = Tokens(state.used);
                 shared.tell(Input::Fate { id, used });
             }
         });
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -61,7 +61,7 @@
 
 /// The state of a request, as reported by its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Fate {
+pub struct RequestState {
     /// Whether the request ran or is running there.
     pub ran: bool,
     /// Whether the request has finished.
@@ -340,7 +340,11 @@
     }
 
     /// Queries a target for the state of a request.
-    pub async fn fate(&self, address: std::net::SocketAddr, id: Id) -> Option<Fate> {
+    pub async fn request_state(
+        &self,
+        address: std::net::SocketAddr,
+        id: Id,
+    ) -> Option<RequestState> {
         self.get(format!("http://{address}/v1/requests/{id}")).await
     }
 
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -24,7 +24,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::{empty, json, lock, set_faults};
-use crate::router::http::relay::{Fate, Load};
+use crate::router::http::relay::{Load, RequestState};
 use crate::router::http::{Headers, chat};
 
 /// Speed and size of an engine.
@@ -257,12 +257,12 @@
             return empty(StatusCode::NOT_FOUND);
         }
         let fate = match inner.runs.get(id) {
-            Some(run) => Fate {
+            Some(run) => RequestState {
                 ran: true,
                 done: Instant::now() >= run.at(run.tokens),
                 used: run.prompt_tokens + run.tokens,
             },
-            None => Fate {
+            None => RequestState {
                 ran: false,
                 done: false,
                 used: 0,
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -16,7 +16,7 @@
 use super::engine::{Dispatch, not_run};
 use super::{empty, json, lock, set_faults};
 use crate::router::http::Headers;
-use crate::router::http::relay::{Fate, Load};
+use crate::router::http::relay::{Load, RequestState};
 
 /// Faults of a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -119,7 +119,7 @@
 
     fn fate(&self, id: &str) -> Response {
         let ran = lock(&self.inner).ran.contains_key(id);
-        let fate = Fate {
+        let fate = RequestState {
             ran,
             done: ran,
             used: 0,
