--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use crate::router::control::Spec;
-use crate::router::http::answer::{About, Answer, Step, Work};
+use crate::router::http::answer::{Answer, RequestInfo, Step, Work};
 use crate::router::http::chat::{Frame, Usage};
 use crate::router::http::entry::Entry;
 use crate::router::http::relay::kind;
@@ -229,7 +229,7 @@
         hash.update(&[0]);
     }
     let kind = kind(&work);
-    let about = About {
+    let request = RequestInfo {
         id: caller.id,
         customer: caller.customer.clone(),
         class: caller.class.clone(),
@@ -249,7 +249,7 @@
         max_tokens,
         repeatable: caller.repeatable,
     };
-    let answer = Arc::new(Answer::new(work, about));
+    let answer = Arc::new(Answer::new(work, request));
     shared.arrive(spec, Arc::clone(&answer));
     answer
 }
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -149,9 +149,9 @@
         let Some(answer) = self.shared.answers.get(ticket) else {
             return;
         };
-        let about = &answer.about;
+        let request = &answer.request;
         let key = key(&answer);
-        let objective = self.shared.config.load().objective(&about.class);
+        let objective = self.shared.config.load().objective(&request.class);
         let sample = answer.watch.sample();
         self.shared.metrics.note(&key, objective, &verdict, sample);
         let reason = verdict.reason().map_or("none", |reason| reason.word());
@@ -161,18 +161,18 @@
         };
         tracing::info!(
             event = "request_finished",
-            request = %about.id,
-            customer = about.customer,
-            class = about.class,
-            serves = about.serves,
+            request = %request.id,
+            customer = request.customer,
+            class = request.class,
+            serves = request.serves,
             verdict = verdict.word(),
             reason,
             billed,
             first_ms = sample.first_ms,
-            total_ms = about.arrived.elapsed().as_millis() as u64,
+            total_ms = request.arrived.elapsed().as_millis() as u64,
         );
         self.shared.trail.note(
-            about.id,
+            request.id,
             format!("verdict {}: {reason}, billed {billed}", verdict.word()),
         );
         answer.end(verdict);
@@ -187,7 +187,7 @@
             return;
         };
         self.shared.trail.note(
-            answer.about.id,
+            answer.request.id,
             "a retry joined the first arrival".to_owned(),
         );
         match self.shared.answers.get(to) {
@@ -201,9 +201,9 @@
 
 fn key(answer: &Answer) -> Key {
     Key {
-        customer: answer.about.customer.clone(),
-        class: answer.about.class.clone(),
-        serves: answer.about.serves.clone(),
+        customer: answer.request.customer.clone(),
+        class: answer.request.class.clone(),
+        serves: answer.request.serves.clone(),
     }
 }
 
@@ -215,7 +215,7 @@
 ) -> crate::router::control::End {
     let key = key(answer);
     let seen = |_index| {
-        let at = u64::try_from(answer.about.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
+        let at = u64::try_from(answer.request.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
         if let Some(gap) = answer.watch.frame(at) {
             shared.metrics.note_gap(&key, gap);
         }
--- a/src/router/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -23,7 +23,7 @@
 
 /// The properties of a request that logs and reports show.
 #[derive(Clone, Debug)]
-pub struct About {
+pub struct RequestInfo {
     /// The request id.
     pub id: Id,
     /// The customer that sent it.
@@ -74,7 +74,7 @@
     /// The payload that is sent to the target.
     pub work: Work,
     /// The properties of the request.
-    pub about: About,
+    pub request: RequestInfo,
     /// The arrival times of its frames.
     pub watch: Watch,
     inner: Mutex<Inner>,
@@ -83,10 +83,10 @@
 
 impl Answer {
     /// Creates an answer without any content.
-    pub fn new(work: Work, about: About) -> Self {
+    pub fn new(work: Work, request: RequestInfo) -> Self {
         Self {
             work,
-            about,
+            request,
             watch: Watch::default(),
             inner: Mutex::default(),
             changed: watch::Sender::new(()),
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -188,7 +188,7 @@
             shown: false,
         };
         let sent = self
-            .send("/call", answer.about.repeatable, dispatch, body)
+            .send("/call", answer.request.repeatable, dispatch, body)
             .await;
         let response = match sent {
             Ok(response) => response,
@@ -229,7 +229,7 @@
         };
         let path = "/v1/chat/completions";
         let sent = self
-            .send(path, answer.about.repeatable, dispatch, body)
+            .send(path, answer.request.repeatable, dispatch, body)
             .await;
         let mut response = match sent {
             Ok(response) => Some(response),
