--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -152,7 +152,7 @@
         let request = &answer.request;
         let key = key(&answer);
         let objective = self.shared.config.load().objective(&request.class);
-        let sample = answer.watch.sample();
+        let sample = answer.frame_times.sample();
         self.shared.metrics.note(&key, objective, &verdict, sample);
         let reason = verdict.reason().map_or("none", |reason| reason.word());
         let billed = match verdict {
@@ -216,7 +216,7 @@
     let key = key(answer);
     let seen = |_index| {
         let at = u64::try_from(answer.request.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
-        if let Some(gap) = answer.watch.frame(at) {
+        if let Some(gap) = answer.frame_times.record(at) {
             shared.metrics.note_gap(&key, gap);
         }
     };
--- a/src/router/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 use super::chat::{Call, Frame};
-use crate::router::report::Watch;
+use crate::router::report::FrameTimes;
 use crate::router::request::{Id, Ticket, Verdict};
 
 /// The payload that is sent to the target.
@@ -76,7 +76,7 @@
     /// The properties of the request.
     pub request: RequestInfo,
     /// The arrival times of its frames.
-    pub watch: Watch,
+    pub frame_times: FrameTimes,
     inner: Mutex<Inner>,
     changed: watch::Sender<()>,
 }
@@ -87,7 +87,7 @@
         Self {
             work,
             request,
-            watch: Watch::default(),
+            frame_times: FrameTimes::default(),
             inner: Mutex::default(),
             changed: watch::Sender::new(()),
         }
--- a/src/router/report/mod.rs
+++ b/src/router/report/mod.rs
@@ -10,4 +10,4 @@
 pub use html::page;
 pub use metrics::{Key, Metrics, Minute, Sample, Series, histogram, is_good};
 pub use trail::{Step, Trail};
-pub use watch::Watch;
+pub use watch::FrameTimes;
--- a/src/router/report/watch.rs
+++ b/src/router/report/watch.rs
@@ -1,48 +1,48 @@
-//! What one answer measures on its way.
+//! Measures the times between the frames of one answer.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use super::Sample;
 
-/// Marks a time that has not come.
-const NEVER: u64 = u64::MAX;
+/// Value of a time that is not set yet.
+const UNSET: u64 = u64::MAX;
 
-/// Times of one answer's frames, in milliseconds since its request.
+/// Arrival times of the frames of one answer, in milliseconds since the request arrived.
 #[derive(Debug)]
-pub struct Watch {
+pub struct FrameTimes {
     first_ms: AtomicU64,
     last_ms: AtomicU64,
     frames: AtomicU64,
 }
 
-impl Default for Watch {
+impl Default for FrameTimes {
     fn default() -> Self {
         Self {
-            first_ms: AtomicU64::new(NEVER),
-            last_ms: AtomicU64::new(NEVER),
+            first_ms: AtomicU64::new(UNSET),
+            last_ms: AtomicU64::new(UNSET),
             frames: AtomicU64::new(0),
         }
     }
 }
 
-impl Watch {
-    /// A frame came this long after the request; the gap since the last is returned.
-    pub fn frame(&self, at: u64) -> Option<u64> {
+impl FrameTimes {
+    /// Records a frame that arrived `at` milliseconds after the request. Returns the time since the previous frame.
+    pub fn record(&self, at: u64) -> Option<u64> {
         self.frames.fetch_add(1, Ordering::Relaxed);
-        // Only the first frame's time stays.
+        // Fails for all frames but the first, whose time stays.
         let _ = self
             .first_ms
-            .compare_exchange(NEVER, at, Ordering::Relaxed, Ordering::Relaxed);
+            .compare_exchange(UNSET, at, Ordering::Relaxed, Ordering::Relaxed);
         let last = self.last_ms.swap(at, Ordering::Relaxed);
-        (last != NEVER).then(|| at.saturating_sub(last))
+        (last != UNSET).then(|| at.saturating_sub(last))
     }
 
-    /// What it comes to.
+    /// The latencies of the answer so far.
     pub fn sample(&self) -> Sample {
         let first = self.first_ms.load(Ordering::Relaxed);
         let last = self.last_ms.load(Ordering::Relaxed);
         let gaps = self.frames.load(Ordering::Relaxed).saturating_sub(1);
-        if first == NEVER {
+        if first == UNSET {
             return Sample::default();
         }
         Sample {
