--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -198,10 +198,10 @@
     let work = Work::Service(body.clone());
     let answer = submit(&shared, &caller, work, &body, &name, Tokens::ZERO);
     let answer = first_of(answer).await;
-    let verdict = answer.ended().await;
-    match (answer.whole(), verdict) {
-        (Some(whole), Verdict::Ran { .. }) => {
-            let mut response = reply::bytes(whole.status, whole.body);
+    let verdict = answer.wait_verdict().await;
+    match (answer.service_answer(), verdict) {
+        (Some(answer), Verdict::Ran { .. }) => {
+            let mut response = reply::bytes(answer.status, answer.body);
             reply::set_verdict_headers(response.headers_mut(), caller.id, &verdict);
             response
         }
@@ -256,7 +256,7 @@
 
 /// The answer itself, or the one that it has joined.
 async fn first_of(answer: Arc<Answer>) -> Arc<Answer> {
-    answer.begun().await.unwrap_or(answer)
+    answer.wait_started().await.unwrap_or(answer)
 }
 
 fn stream(id: Id, answer: Arc<Answer>) -> Response {
@@ -284,7 +284,7 @@
             Place::Done => (Event::new().data("[DONE]"), Place::Over),
             Place::Frame(index) => match answer.step(index).await {
                 Step::Frame(frame) if frame.usage.is_some() => {
-                    let verdict = answer.ended().await;
+                    let verdict = answer.wait_verdict().await;
                     (last(&frame, id, &verdict), Place::Done)
                 }
                 Step::Frame(frame) => (event(&frame), Place::Frame(index + 1)),
@@ -330,7 +330,7 @@
             Step::End(verdict) => return reply::refused(id, &verdict, model),
         }
     };
-    let verdict = answer.ended().await;
+    let verdict = answer.wait_verdict().await;
     let body = json!({
         "id": id.to_string(),
         "object": "chat.completion",
--- a/src/router/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -40,7 +40,7 @@
 
 /// The complete answer of a service.
 #[derive(Clone, Debug)]
-pub struct Body {
+pub struct ServiceAnswer {
     /// The HTTP status.
     pub status: StatusCode,
     /// The body.
@@ -60,7 +60,7 @@
 struct Inner {
     frames: Vec<Arc<Frame>>,
     /// The answer of a service.
-    whole: Option<Body>,
+    service_answer: Option<ServiceAnswer>,
     verdict: Option<Verdict>,
     /// The answer of the first arrival, in the answer of a retry.
     joined: Option<Arc<Answer>>,
@@ -109,8 +109,8 @@
     }
 
     /// Stores the answer of a service.
-    pub fn set_whole(&self, body: Body) {
-        self.change(|inner| inner.whole = Some(body));
+    pub fn set_service_answer(&self, answer: ServiceAnswer) {
+        self.change(|inner| inner.service_answer = Some(answer));
     }
 
     /// Ends the answer with a verdict; the first verdict stays.
@@ -126,11 +126,11 @@
     }
 
     /// Discards the content, unless a reader has already received a part of it; returns whether one has.
-    pub fn take_back(&self) -> bool {
+    pub fn discard_undelivered(&self) -> bool {
         let mut inner = self.lock();
         if !inner.delivered {
             inner.frames.clear();
-            inner.whole = None;
+            inner.service_answer = None;
         }
         inner.delivered
     }
@@ -141,8 +141,8 @@
     }
 
     /// The answer of a service, if it has arrived.
-    pub fn whole(&self) -> Option<Body> {
-        self.lock().whole.clone()
+    pub fn service_answer(&self) -> Option<ServiceAnswer> {
+        self.lock().service_answer.clone()
     }
 
     /// The answer of the first arrival, if this one belongs to a retry.
@@ -178,7 +178,7 @@
     }
 
     /// Waits for a first frame, a verdict, or an answer to join; returns the joined answer, if any.
-    pub async fn begun(&self) -> Option<Arc<Answer>> {
+    pub async fn wait_started(&self) -> Option<Arc<Answer>> {
         let mut changes = self.changed.subscribe();
         loop {
             changes.borrow_and_update();
@@ -191,7 +191,7 @@
     }
 
     /// Waits for the verdict.
-    pub async fn ended(&self) -> Verdict {
+    pub async fn wait_verdict(&self) -> Verdict {
         let mut changes = self.changed.subscribe();
         loop {
             changes.borrow_and_update();
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -12,7 +12,7 @@
 use volo_http::error::client::ErrorKind;
 use volo_http::response::Response;
 
-use super::answer::{self, Answer, Work};
+use super::answer::{Answer, ServiceAnswer, Work};
 use super::chat::Frame;
 use super::{ATTEMPT, FENCE, RANK, REQUEST_ID, VERDICT};
 use crate::router::control::End;
@@ -207,7 +207,7 @@
         let Ok(Ok(body)) = body else {
             return broken;
         };
-        answer.set_whole(answer::Body { status, body });
+        answer.set_service_answer(ServiceAnswer { status, body });
         End::Complete {
             used: Tokens::ZERO,
             whole: millis(start),
@@ -265,7 +265,7 @@
                 ResumeOutcome::Unreachable => {}
             }
         }
-        let shown = answer.take_back();
+        let shown = answer.discard_undelivered();
         End::Broken {
             used: Tokens(progress.used),
             shown,
