--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -131,13 +131,13 @@
             "dispatch {} to {target}, fence {}",
             dispatch.attempt, dispatch.choice.fence
         );
-        self.shared.trail.note(dispatch.id, what);
+        self.shared.trail.record(dispatch.id, what);
         tracing::debug!(event = "dispatched", request = %dispatch.id, %target, attempt = dispatch.attempt);
         let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
             shared.note_active(target);
             let end = run(&relay, &shared, &answer, dispatch).await;
-            shared.trail.note(
+            shared.trail.record(
                 dispatch.id,
                 format!("attempt {} ended: {end:?}", dispatch.attempt),
             );
@@ -153,7 +153,9 @@
         let key = key(&answer);
         let objective = self.shared.config.load().objective(&request.class);
         let sample = answer.frame_times.sample();
-        self.shared.metrics.note(&key, objective, &verdict, sample);
+        self.shared
+            .metrics
+            .record_request(&key, objective, &verdict, sample);
         let reason = verdict.reason().map_or("none", |reason| reason.word());
         let billed = match verdict {
             Verdict::Ran { billed } => billed.0,
@@ -171,7 +173,7 @@
             first_ms = sample.first_ms,
             total_ms = request.arrived.elapsed().as_millis() as u64,
         );
-        self.shared.trail.note(
+        self.shared.trail.record(
             request.id,
             format!("verdict {}: {reason}, billed {billed}", verdict.word()),
         );
@@ -186,7 +188,7 @@
         let Some(answer) = self.shared.answers.remove(ticket) else {
             return;
         };
-        self.shared.trail.note(
+        self.shared.trail.record(
             answer.request.id,
             "a retry joined the first arrival".to_owned(),
         );
@@ -217,7 +219,7 @@
     let seen = |_index| {
         let at = u64::try_from(answer.request.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
         if let Some(gap) = answer.frame_times.record(at) {
-            shared.metrics.note_gap(&key, gap);
+            shared.metrics.record_gap(&key, gap);
         }
     };
     let end = relay.run(answer, dispatch, seen).await;
--- a/src/router/report/metrics.rs
+++ b/src/router/report/metrics.rs
@@ -149,15 +149,21 @@
         self.start.elapsed().as_secs() / 60
     }
 
-    /// Notes the gap between two tokens.
-    pub fn note_gap(&self, key: &Key, millis: u64) {
+    /// Records the time between two tokens.
+    pub fn record_gap(&self, key: &Key, millis: u64) {
         let mut series = self.series.lock().unwrap_or_else(PoisonError::into_inner);
         let live = series.entry(key.clone()).or_insert_with(Live::new);
         live.between.saturating_record(millis);
     }
 
-    /// Notes a request's end.
-    pub fn note(&self, key: &Key, objective: Objective, verdict: &Verdict, sample: Sample) {
+    /// Records a finished request.
+    pub fn record_request(
+        &self,
+        key: &Key,
+        objective: Objective,
+        verdict: &Verdict,
+        sample: Sample,
+    ) {
         let minute = self.minute();
         let mut series = self.series.lock().unwrap_or_else(PoisonError::into_inner);
         let live = series.entry(key.clone()).or_insert_with(Live::new);
--- a/src/router/report/trail.rs
+++ b/src/router/report/trail.rs
@@ -41,8 +41,8 @@
 }
 
 impl Trail {
-    /// Notes a decision.
-    pub fn note(&self, id: Id, what: String) {
+    /// Records a decision.
+    pub fn record(&self, id: Id, what: String) {
         let mut inner = self.inner.lock().unwrap_or_else(PoisonError::into_inner);
         if !inner.steps.contains_key(&id) {
             inner.order.push_back(id);
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -161,7 +161,7 @@
             "arrived: {} of class {}, paid by {}, at most {} tokens before the price",
             spec.serves, spec.class, spec.budget, spec.max_tokens
         );
-        self.trail.note(spec.id, what);
+        self.trail.record(spec.id, what);
         self.answers.insert(spec.ticket, answer);
         self.tell(Input::Arrive(spec));
     }
--- a/tests/burn_sums.rs
+++ b/tests/burn_sums.rs
@@ -75,14 +75,14 @@
                 first_ms: Some(first),
                 between_ms: Some(10),
             };
-            metrics.note(&key, OBJECTIVE, &Verdict::Ran { billed: Tokens(2) }, sample);
-            metrics.note_gap(&key, 10);
+            metrics.record_request(&key, OBJECTIVE, &Verdict::Ran { billed: Tokens(2) }, sample);
+            metrics.record_gap(&key, 10);
         }
         let refused = Verdict::NotRun {
             reason: Reason::TooLate,
             retry_after: Millis(1),
         };
-        metrics.note(&key, OBJECTIVE, &refused, Sample::default());
+        metrics.record_request(&key, OBJECTIVE, &refused, Sample::default());
         metrics.export()
     };
     let rows = burn::merge(one(1..=50).into_iter().chain(one(51..=100)));
