--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -1,4 +1,4 @@
-//! What callers ask: model calls, service calls, and which of our addresses to use.
+//! Endpoints for callers: model calls, service calls, and the router addresses to use.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -24,12 +24,12 @@
 use crate::units::Tokens;
 use crate::util::{is_name, secret_matches};
 
-/// Numbers that callers choose are below this.
-const NUMBERS: u64 = 1 << 31;
-/// How long a caller may keep an entry answer.
-const KEEP_MS: u64 = 60_000;
+/// Upper bound, exclusive, of the number that a caller chooses for a request id.
+const CALLER_NUMBERS_END: u64 = 1 << 31;
+/// How long a caller may cache an entry answer, in milliseconds.
+const ENTRY_KEEP_MS: u64 = 60_000;
 
-/// Who a caller has proved to be, and how its request is to be treated.
+/// The authenticated customer of a request, and the options that its headers set.
 struct Caller {
     customer: String,
     class: String,
@@ -38,24 +38,24 @@
     repeatable: bool,
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// Refuses a request that comes before this router knows who its customers are: no key can be judged by then. One
-/// with an id may be a repeat of one that has run.
-fn starting(shared: &Shared, headers: &HeaderMap) -> Option<Response> {
+/// Refuses a request that arrives before this router has read its customers from the log, since no key can be checked
+/// until then. A request with an id may be a retry of one that has run.
+fn refuse_while_starting(shared: &Shared, headers: &HeaderMap) -> Option<Response> {
     if shared.is_ready() {
         return None;
     }
-    let id = text(headers, REQUEST_ID).and_then(|id| id.parse().ok());
+    let id = header_text(headers, REQUEST_ID).and_then(|id| id.parse().ok());
     let reason = Reason::Starting;
     let refused = |id| reply::refused(id, &Verdict::MayHaveRun { reason }, "");
     Some(id.map_or_else(reply::starting, refused))
 }
 
-/// The name that a key proves; the secret is never logged.
-fn customer(shared: &Shared, headers: &HeaderMap) -> Result<String, RequestError> {
+/// Authenticates a request by its key and returns the customer's name. The secret is never logged.
+fn authenticate(shared: &Shared, headers: &HeaderMap) -> Result<String, RequestError> {
     let denied = |message: &str| {
         Err(RequestError::new(
             StatusCode::UNAUTHORIZED,
@@ -63,17 +63,17 @@
             message,
         ))
     };
-    let Some(key) = text(headers, header::AUTHORIZATION.as_str()) else {
-        return denied("authorization: wanted is 'Bearer CUSTOMER:SECRET'");
+    let Some(key) = header_text(headers, header::AUTHORIZATION.as_str()) else {
+        return denied("authorization: expected 'Bearer CUSTOMER:SECRET'");
     };
     let Some((name, secret)) = key
         .strip_prefix("Bearer ")
         .and_then(|key| key.split_once(':'))
     else {
-        return denied("authorization: wanted is 'Bearer CUSTOMER:SECRET'");
+        return denied("authorization: expected 'Bearer CUSTOMER:SECRET'");
     };
     let config = shared.config.load();
-    // An unknown name costs the same time as a wrong secret.
+    // An unknown name takes the same time to reject as a wrong secret.
     let stored = config
         .customer(name)
         .map_or("", |customer| customer.key_hash.as_str());
@@ -87,21 +87,26 @@
     Ok(name.to_owned())
 }
 
-fn caller(shared: &Shared, headers: &HeaderMap, repeatable: bool) -> Result<Caller, RequestError> {
-    let customer = customer(shared, headers)?;
+/// Authenticates a request and reads its options; `repeatable` is the default without a header.
+fn read_caller(
+    shared: &Shared,
+    headers: &HeaderMap,
+    repeatable: bool,
+) -> Result<Caller, RequestError> {
+    let customer = authenticate(shared, headers)?;
     let config = shared.config.load();
     let allowed = config
         .customer(&customer)
         .map(|customer| customer.classes.clone());
-    // A customer that was removed meanwhile may use no class.
+    // A customer that has been removed in the meantime may use no class.
     let allowed = allowed.unwrap_or_default();
-    let class = text(headers, CLASS).or(allowed.first().map(String::as_str));
+    let class = header_text(headers, CLASS).or(allowed.first().map(String::as_str));
     let class = class.unwrap_or("").to_owned();
     if !allowed.contains(&class) {
         let message = format!("{CLASS}: one of {}", allowed.join(", "));
         return Err(RequestError::bad_request("class", message));
     }
-    let budget = text(headers, BUDGET).unwrap_or(&customer).to_owned();
+    let budget = header_text(headers, BUDGET).unwrap_or(&customer).to_owned();
     if !is_name(&budget) {
         let message = format!("{BUDGET}: 1 to 64 letters, digits, dots, dashes or underscores");
         return Err(RequestError::bad_request("budget", message));
@@ -116,7 +121,7 @@
 }
 
 fn request_id(shared: &Shared, headers: &HeaderMap) -> Result<Id, RequestError> {
-    let Some(id) = text(headers, REQUEST_ID) else {
+    let Some(id) = header_text(headers, REQUEST_ID) else {
         return Ok(shared.own_id());
     };
     let wrong = |why: &str| {
@@ -125,14 +130,14 @@
         RequestError::bad_request("request_id", message)
     };
     let id: Id = id.parse().map_err(wrong)?;
-    if id.nonce & 0xffff_ffff >= NUMBERS {
+    if id.nonce & 0xffff_ffff >= CALLER_NUMBERS_END {
         return Err(wrong("the caller's eight digits are below 80000000"));
     }
     Ok(id)
 }
 
 fn is_repeatable(headers: &HeaderMap, default: bool) -> Result<bool, RequestError> {
-    match text(headers, REPEATABLE) {
+    match header_text(headers, REPEATABLE) {
         None => Ok(default),
         Some("yes") => Ok(true),
         Some("no") => Ok(false),
@@ -143,12 +148,12 @@
     }
 }
 
-/// `POST /v1/chat/completions`
+/// `POST /v1/chat/completions`: a model call.
 pub async fn chat(shared: Arc<Shared>, headers: HeaderMap, body: Bytes) -> Response {
-    if let Some(refusal) = starting(&shared, &headers) {
+    if let Some(refusal) = refuse_while_starting(&shared, &headers) {
         return refusal;
     }
-    let caller = match caller(&shared, &headers, true) {
+    let caller = match read_caller(&shared, &headers, true) {
         Ok(caller) => caller,
         Err(error) => return error.reply(),
     };
@@ -160,7 +165,7 @@
     };
     let (streamed, model) = (call.stream, call.model.clone());
     let prompt = call.prompt();
-    // A token is at least a byte, so this is the most that the prompt can come to.
+    // A token is at least one byte, so the prompt has at most this many tokens.
     let max_tokens = Tokens(prompt.len() as u64 + call.max_tokens);
     let answer = submit(
         &shared,
@@ -170,7 +175,7 @@
         &model,
         max_tokens,
     );
-    let answer = first_of(answer).await;
+    let answer = resolve_joined(answer).await;
     if let Step::End(verdict) = answer.step(0).await {
         return reply::refused(caller.id, &verdict, &model);
     }
@@ -181,23 +186,23 @@
     }
 }
 
-/// `POST /v1/services/{name}`
+/// `POST /v1/services/{name}`: a service call.
 pub async fn service(
     shared: Arc<Shared>,
     name: String,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    if let Some(refusal) = starting(&shared, &headers) {
+    if let Some(refusal) = refuse_while_starting(&shared, &headers) {
         return refusal;
     }
-    let caller = match caller(&shared, &headers, false) {
+    let caller = match read_caller(&shared, &headers, false) {
         Ok(caller) => caller,
         Err(error) => return error.reply(),
     };
     let work = Work::Service(body.clone());
     let answer = submit(&shared, &caller, work, &body, &name, Tokens::ZERO);
-    let answer = first_of(answer).await;
+    let answer = resolve_joined(answer).await;
     let verdict = answer.wait_verdict().await;
     match (answer.service_answer(), verdict) {
         (Some(answer), Verdict::Ran { .. }) => {
@@ -209,7 +214,7 @@
     }
 }
 
-/// Hands a request to the control state.
+/// Submits a request to the control state.
 fn submit(
     shared: &Shared,
     caller: &Caller,
@@ -254,8 +259,8 @@
     answer
 }
 
-/// The answer itself, or the one that it has joined.
-async fn first_of(answer: Arc<Answer>) -> Arc<Answer> {
+/// Waits until an answer has started; returns it, or the one that it has joined.
+async fn resolve_joined(answer: Arc<Answer>) -> Arc<Answer> {
     answer.wait_started().await.unwrap_or(answer)
 }
 
@@ -266,47 +271,54 @@
     response
 }
 
-enum Place {
+/// The next event of a stream.
+enum NextEvent {
+    /// The frame with this index.
     Frame(usize),
+    /// The closing `[DONE]`.
     Done,
-    Over,
+    /// None: the stream has ended.
+    Ended,
 }
 
-/// Frames as they come; the last tells the verdict, and only a whole answer ends in `[DONE]`.
+/// The events of a streamed answer, one for each frame as it arrives. The last frame carries the verdict, and only a
+/// complete answer ends in `[DONE]`.
 fn events(
     id: Id,
     answer: Arc<Answer>,
 ) -> impl Stream<Item = Result<Event, std::io::Error>> + Send + Sync {
-    let start = (answer, Place::Frame(0));
-    futures::stream::unfold(start, move |(answer, place)| async move {
-        let (event, next) = match place {
-            Place::Over => return None,
-            Place::Done => (Event::new().data("[DONE]"), Place::Over),
-            Place::Frame(index) => match answer.step(index).await {
+    let start = (answer, NextEvent::Frame(0));
+    futures::stream::unfold(start, move |(answer, next)| async move {
+        let (event, next) = match next {
+            NextEvent::Ended => return None,
+            NextEvent::Done => (Event::new().data("[DONE]"), NextEvent::Ended),
+            NextEvent::Frame(index) => match answer.step(index).await {
                 Step::Frame(frame) if frame.usage.is_some() => {
                     let verdict = answer.wait_verdict().await;
-                    (last(&frame, id, &verdict), Place::Done)
+                    (last_event(&frame, id, &verdict), NextEvent::Done)
                 }
-                Step::Frame(frame) => (event(&frame), Place::Frame(index + 1)),
-                Step::End(verdict) => (broken(id, &verdict), Place::Over),
+                Step::Frame(frame) => (frame_event(&frame), NextEvent::Frame(index + 1)),
+                Step::End(verdict) => (error_event(id, &verdict), NextEvent::Ended),
             },
         };
         Some((Ok(event), (answer, next)))
     })
 }
 
-fn event(frame: &Frame) -> Event {
-    let data = serde_json::to_string(frame).expect("frames are plain data");
+fn frame_event(frame: &Frame) -> Event {
+    let data = serde_json::to_string(frame).expect("a frame always serializes");
     Event::new().data(data.as_str())
 }
 
-fn last(frame: &Frame, id: Id, verdict: &Verdict) -> Event {
-    let mut value = serde_json::to_value(frame).expect("frames are plain data");
+/// The event of the last frame, with the verdict.
+fn last_event(frame: &Frame, id: Id, verdict: &Verdict) -> Event {
+    let mut value = serde_json::to_value(frame).expect("a frame always serializes");
     value["lanedeck"] = reply::verdict_json(id, verdict);
     Event::new().data(value.to_string().as_str())
 }
 
-fn broken(id: Id, verdict: &Verdict) -> Event {
+/// The event that ends an incomplete answer.
+fn error_event(id: Id, verdict: &Verdict) -> Event {
     let value = json!({
         "error": { "type": verdict.reason(), "message": "the answer broke off here" },
         "lanedeck": reply::verdict_json(id, verdict),
@@ -314,18 +326,18 @@
     Event::new().event("error").data(value.to_string().as_str())
 }
 
-/// The whole answer in one reply.
+/// Collects a complete answer into one reply.
 async fn collect(id: Id, model: &str, answer: &Answer) -> Response {
     let mut content = String::new();
-    let mut place = 0;
+    let mut index = 0;
     let usage: Usage = loop {
-        match answer.step(place).await {
+        match answer.step(index).await {
             Step::Frame(frame) => {
                 content.push_str(frame.text());
                 if let Some(usage) = frame.usage {
                     break usage;
                 }
-                place += 1;
+                index += 1;
             }
             Step::End(verdict) => return reply::refused(id, &verdict, model),
         }
@@ -348,18 +360,18 @@
     response
 }
 
-/// `GET /v1/entry`
+/// `GET /v1/entry`: the router addresses that the customer should use.
 pub async fn entry(shared: Arc<Shared>, headers: HeaderMap) -> Response {
     if !shared.is_ready() {
         return reply::starting();
     }
-    let customer = match customer(&shared, &headers) {
+    let customer = match authenticate(&shared, &headers) {
         Ok(customer) => customer,
         Err(error) => return error.reply(),
     };
     match shared.entries(customer).await {
         Some(addresses) => {
-            let keep_ms = KEEP_MS;
+            let keep_ms = ENTRY_KEEP_MS;
             reply::json(StatusCode::OK, &Entry { addresses, keep_ms })
         }
         None => reply::stopping(),
--- a/src/router/api/mod.rs
+++ b/src/router/api/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and operators ask of a router over HTTP, one function a path.
+//! The HTTP endpoints of a router for callers and operators, one function per path.
 
 pub mod caller;
 pub mod operator;
--- a/src/router/api/operator.rs
+++ b/src/router/api/operator.rs
@@ -1,4 +1,5 @@
-//! What operators ask: plans, confirms, status, the burn report, and why a request went as it did.
+//! Endpoints for operators: plans, confirmations, status, configuration, the burn report, and the decisions on a
+//! request.
 
 use std::sync::Arc;
 
@@ -16,22 +17,25 @@
 use crate::router::shared::Shared;
 use crate::util::secret_matches;
 
-/// Name in an operator's key, before the colon.
-const OPERATOR: &str = "operator";
+/// The name in an operator's key, before the colon.
+const OPERATOR_NAME: &str = "operator";
 
-fn check(shared: &Shared, headers: &HeaderMap) -> Result<(), RequestError> {
+/// Checks that a request carries the operator's key.
+fn authorize(shared: &Shared, headers: &HeaderMap) -> Result<(), RequestError> {
     let key = headers
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok());
     let Some(key) = key.and_then(|key| key.strip_prefix("Bearer ")) else {
-        let message = "authorization: wanted is 'Bearer operator:SECRET'";
+        let message = "authorization: expected 'Bearer operator:SECRET'";
         return Err(RequestError::new(
             StatusCode::UNAUTHORIZED,
             "no_key",
             message,
         ));
     };
-    let secret = key.split_once(':').filter(|(name, _)| *name == OPERATOR);
+    let secret = key
+        .split_once(':')
+        .filter(|(name, _)| *name == OPERATOR_NAME);
     let secret = secret.map_or("", |(_, secret)| secret);
     if secret_matches(secret, &shared.operator_hash) {
         return Ok(());
@@ -44,14 +48,14 @@
     ))
 }
 
-fn parse<T: serde::de::DeserializeOwned>(body: &Bytes) -> Result<T, RequestError> {
+fn parse_body<T: serde::de::DeserializeOwned>(body: &Bytes) -> Result<T, RequestError> {
     serde_json::from_slice(body)
         .map_err(|error| RequestError::bad_request("body", format!("body: {error}")))
 }
 
-/// `POST /v1/intents`: a plan, of which nothing takes effect before it is confirmed.
+/// `POST /v1/intents`: returns a plan, which takes effect only once it is confirmed.
 pub async fn intent(shared: Arc<Shared>, headers: HeaderMap, body: Bytes) -> Response {
-    let intent: Intent = match check(&shared, &headers).and_then(|()| parse(&body)) {
+    let intent: Intent = match authorize(&shared, &headers).and_then(|()| parse_body(&body)) {
         Ok(intent) => intent,
         Err(error) => return error.reply(),
     };
@@ -72,17 +76,17 @@
     }
 }
 
-/// What became of a confirm.
+/// The reply to a confirmation.
 #[derive(Debug, Serialize)]
-struct Confirmed {
+struct ConfirmReply {
     result: &'static str,
     offset: Option<u64>,
     message: String,
 }
 
-/// `POST /v1/confirm`: puts a plan in force. May be repeated: a plan is confirmed once.
+/// `POST /v1/confirm`: puts a plan in force. May be repeated; a plan takes effect at most once.
 pub async fn confirm(shared: Arc<Shared>, headers: HeaderMap, body: Bytes) -> Response {
-    let plan: Plan = match check(&shared, &headers).and_then(|()| parse(&body)) {
+    let plan: Plan = match authorize(&shared, &headers).and_then(|()| parse_body(&body)) {
         Ok(plan) => plan,
         Err(error) => return error.reply(),
     };
@@ -114,7 +118,7 @@
     };
     reply::json(
         status,
-        &Confirmed {
+        &ConfirmReply {
             result,
             offset,
             message,
@@ -122,9 +126,9 @@
     )
 }
 
-/// `GET /v1/status`
+/// `GET /v1/status`: the status of this router.
 pub async fn status(shared: Arc<Shared>, headers: HeaderMap) -> Response {
-    if let Err(error) = check(&shared, &headers) {
+    if let Err(error) = authorize(&shared, &headers) {
         return error.reply();
     }
     match shared.ask(|token| Input::Status { token }).await {
@@ -135,7 +139,7 @@
 
 /// `GET /v1/config`: all objects in force, with their versions.
 pub async fn config(shared: Arc<Shared>, headers: HeaderMap) -> Response {
-    if let Err(error) = check(&shared, &headers) {
+    if let Err(error) = authorize(&shared, &headers) {
         return error.reply();
     }
     let config = shared.config.load();
@@ -146,17 +150,17 @@
     reply::json(StatusCode::OK, &items)
 }
 
-/// `GET /v1/burn`
+/// `GET /v1/burn`: the series of this router, from which the burn report is made.
 pub async fn burn(shared: Arc<Shared>, headers: HeaderMap) -> Response {
-    if let Err(error) = check(&shared, &headers) {
+    if let Err(error) = authorize(&shared, &headers) {
         return error.reply();
     }
     reply::json(StatusCode::OK, &shared.metrics.export())
 }
 
-/// `GET /v1/explain/{id}`
+/// `GET /v1/explain/{id}`: the decisions of this router on a request.
 pub async fn explain(shared: Arc<Shared>, id: String, headers: HeaderMap) -> Response {
-    if let Err(error) = check(&shared, &headers) {
+    if let Err(error) = authorize(&shared, &headers) {
         return error.reply();
     }
     let steps = id.parse().ok().and_then(|id| shared.trail.get(id));
@@ -165,7 +169,7 @@
         None => RequestError::new(
             StatusCode::NOT_FOUND,
             "unknown",
-            "this router knows no such request",
+            "this router has no record of this request",
         )
         .reply(),
     }
