--- a/src/router/report/burn.rs
+++ b/src/router/report/burn.rs
@@ -1,7 +1,7 @@
-//! The burn report: how fast the objectives' allowance of misses is used up.
+//! The burn report: how fast the error budgets of the service-level objectives are used up.
 //!
-//! Burn rate is the share of requests that missed their objective, over the share that may miss
-//! it: 1 uses the allowance up exactly, 14 in a fourteenth of the time.
+//! The burn rate is the share of requests that missed their objective, divided by the share that may miss it. A rate
+//! of 1 uses up the error budget exactly, a rate of 14 in a fourteenth of the time.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -12,40 +12,40 @@
 use super::metrics::{Key, MINUTES, Minute, Series, decode, histogram};
 use crate::router::intent::Objective;
 
-/// Minutes of the short window.
+/// Length of the short window, in minutes.
 pub const SHORT: u64 = 5;
-/// Minutes of the long window.
+/// Length of the long window, in minutes.
 pub const LONG: u64 = MINUTES;
 
-/// One line of the report.
+/// One row of the report.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Whose.
+    /// The customer, class and model or service.
     #[serde(flatten)]
     pub key: Key,
-    /// Against what.
+    /// The objective.
     pub objective: Objective,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Those that ran.
+    /// Number of requests that ran.
     pub ran: u64,
     /// Tokens billed.
     pub billed: u64,
-    /// The others, by reason.
+    /// Numbers of the other requests, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Time to the first token, in milliseconds: 50, 95 and 99 in 100.
+    /// Time to the first token, in milliseconds: 50th, 95th and 99th percentile.
     pub first_ms: [u64; 3],
-    /// Time between tokens, in milliseconds: 50, 95 and 99 in 100.
+    /// Time between tokens, in milliseconds: 50th, 95th and 99th percentile.
     pub between_ms: [u64; 3],
     /// Burn rate over the short window.
     pub burn_short: f64,
     /// Burn rate over the long window.
     pub burn_long: f64,
-    /// Burn by minute, newest first.
+    /// Requests that met and missed the objective by minute, newest first.
     pub minutes: Vec<Minute>,
 }
 
-/// Burn rate over the last `window` minutes.
+/// The burn rate over the last `window` minutes.
 pub fn rate(minutes: &[Minute], objective: Objective, window: u64) -> f64 {
     let recent = minutes.iter().filter(|minute| minute.ago < window);
     let (good, bad) = recent.fold((0, 0), |(good, bad), minute| {
@@ -65,49 +65,49 @@
     between: Histogram<u64>,
 }
 
-/// Merges the series of several routers, a row for each customer, class and model.
+/// Merges the series of several routers into one row for each customer, class and model or service.
 pub fn merge(series: impl IntoIterator<Item = Series>) -> Vec<Row> {
     let mut merged: BTreeMap<Key, Merged> = BTreeMap::new();
-    for one in series {
-        match merged.get_mut(&one.key) {
-            Some(sum) => add(sum, &one),
+    for series in series {
+        match merged.get_mut(&series.key) {
+            Some(sum) => add(sum, &series),
             None => {
-                merged.insert(one.key.clone(), start(one));
+                merged.insert(series.key.clone(), start(series));
             }
         }
     }
     merged.into_values().map(finish).collect()
 }
 
-fn start(one: Series) -> Merged {
+fn start(series: Series) -> Merged {
     Merged {
-        first: read(&one, &one.first),
-        between: read(&one, &one.between),
+        first: read(&series, &series.first),
+        between: read(&series, &series.between),
         row: Row {
-            key: one.key,
-            objective: one.objective,
-            requests: one.requests,
-            ran: one.ran,
-            billed: one.billed,
-            refused: one.refused,
+            key: series.key,
+            objective: series.objective,
+            requests: series.requests,
+            ran: series.ran,
+            billed: series.billed,
+            refused: series.refused,
             first_ms: [0; 3],
             between_ms: [0; 3],
             burn_short: 0.0,
             burn_long: 0.0,
-            minutes: one.minutes,
+            minutes: series.minutes,
         },
     }
 }
 
-fn add(sum: &mut Merged, one: &Series) {
+fn add(sum: &mut Merged, series: &Series) {
     let row = &mut sum.row;
-    row.requests += one.requests;
-    row.ran += one.ran;
-    row.billed += one.billed;
-    for (reason, count) in &one.refused {
+    row.requests += series.requests;
+    row.ran += series.ran;
+    row.billed += series.billed;
+    for (reason, count) in &series.refused {
         *row.refused.entry(reason.clone()).or_default() += count;
     }
-    for minute in &one.minutes {
+    for minute in &series.minutes {
         match row.minutes.iter_mut().find(|known| known.ago == minute.ago) {
             Some(known) => {
                 known.good += minute.good;
@@ -117,27 +117,27 @@
         }
     }
     row.minutes.sort_by_key(|minute| minute.ago);
-    join(&mut sum.first, read(one, &one.first));
-    join(&mut sum.between, read(one, &one.between));
+    join(&mut sum.first, read(series, &series.first));
+    join(&mut sum.between, read(series, &series.between));
 }
 
-/// A series' histogram. One that cannot be read counts as empty, so that a report of many routers
-/// still tells of the others; the log says whose it was.
-fn read(one: &Series, text: &str) -> Histogram<u64> {
+/// Decodes a histogram of a series. One that cannot be decoded counts as empty, so that a report on many routers still
+/// covers the others; the log names the series.
+fn read(series: &Series, text: &str) -> Histogram<u64> {
     decode(text).unwrap_or_else(|error| {
         let Key {
             customer,
             class,
             serves,
-        } = &one.key;
+        } = &series.key;
         tracing::warn!(event = "histogram_unreadable", %customer, %class, %serves, %error);
         histogram()
     })
 }
 
-fn join(sum: &mut Histogram<u64>, one: Histogram<u64>) {
-    sum.add(one)
-        .expect("a histogram that grows by itself takes any value");
+fn join(sum: &mut Histogram<u64>, other: Histogram<u64>) {
+    sum.add(other)
+        .expect("a resizable histogram accepts any value");
 }
 
 fn finish(merged: Merged) -> Row {
@@ -149,12 +149,12 @@
     row
 }
 
-/// The 50th, 95th and 99th of 100.
+/// The 50th, 95th and 99th percentile.
 pub fn percentiles(histogram: &Histogram<u64>) -> [u64; 3] {
     [0.50, 0.95, 0.99].map(|quantile| histogram.value_at_quantile(quantile))
 }
 
-/// The report as a table.
+/// Formats the report as a text table.
 pub fn table(rows: &[Row]) -> String {
     let mut text = format!(
         "{:<12} {:<10} {:<12} {:>8} {:>8} {:>9} {:>18} {:>15} {:>7} {:>7}  {}\n",
@@ -185,8 +185,8 @@
             row.requests,
             row.ran,
             row.billed,
-            slashed(row.first_ms),
-            slashed(row.between_ms),
+            join_percentiles(row.first_ms),
+            join_percentiles(row.between_ms),
             row.burn_short,
             row.burn_long,
             refused.join(" ")
@@ -195,6 +195,6 @@
     text
 }
 
-fn slashed(values: [u64; 3]) -> String {
+fn join_percentiles(values: [u64; 3]) -> String {
     values.map(|value| value.to_string()).join("/")
 }
--- a/src/router/report/html.rs
+++ b/src/router/report/html.rs
@@ -1,10 +1,12 @@
-//! The burn report as one page, with a plot for each row in plain SVG.
+//! The burn report as a single HTML page, with an inline SVG plot for each row.
 
 use std::fmt::Write;
 
 use super::burn::{LONG, Row, rate};
 
+/// Width of a plot, in pixels.
 const WIDTH: f64 = 360.0;
+/// Height of a plot, in pixels.
 const HEIGHT: f64 = 60.0;
 
 const HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">\
@@ -17,7 +19,7 @@
 <p>Burn rate is the share of requests that missed their objective, over the share that may. \
 The bars are the burn rate of each of the last 60 minutes, newest on the right; the line is 1.</p>";
 
-/// The page.
+/// Formats the report as an HTML page.
 pub fn page(rows: &[Row]) -> String {
     let mut page = String::from(HEAD);
     page.push_str(
@@ -39,7 +41,7 @@
         .iter()
         .map(|(reason, count)| format!("{reason} {count}"))
         .collect();
-    let three = |values: [u64; 3]| values.map(|value| value.to_string()).join(" / ");
+    let join_percentiles = |values: [u64; 3]| values.map(|value| value.to_string()).join(" / ");
     let mut text = String::new();
     let _ = write!(
         text,
@@ -50,25 +52,27 @@
         row.requests,
         row.ran,
         row.billed,
-        three(row.first_ms),
-        three(row.between_ms),
-        burn(row.burn_short),
-        burn(row.burn_long),
+        join_percentiles(row.first_ms),
+        join_percentiles(row.between_ms),
+        burn_cell(row.burn_short),
+        burn_cell(row.burn_long),
         plot(row),
         escape(&refused.join(", ")),
     );
     text
 }
 
-fn burn(rate: f64) -> String {
+/// A burn rate, highlighted if it is above 1.
+fn burn_cell(rate: f64) -> String {
     let class = if rate > 1.0 { " class=\"hot\"" } else { "" };
     format!("<span{class}>{rate:.2}</span>")
 }
 
+/// A bar for the burn rate of each minute, and a line at 1.
 fn plot(row: &Row) -> String {
     let rates = row.minutes.iter().map(|minute| {
-        let one = std::slice::from_ref(minute);
-        (minute.ago, rate(one, row.objective, LONG))
+        let single = std::slice::from_ref(minute);
+        (minute.ago, rate(single, row.objective, LONG))
     });
     let rates: Vec<(u64, f64)> = rates.collect();
     let top = rates.iter().map(|(_, rate)| *rate).fold(2.0, f64::max);
--- a/src/router/report/metrics.rs
+++ b/src/router/report/metrics.rs
@@ -1,4 +1,4 @@
-//! Histograms and counters of one router, and how those of several are merged.
+//! Latency histograms and request counters of one router, and the form in which it reports them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Mutex, PoisonError};
@@ -14,14 +14,14 @@
 use crate::router::intent::Objective;
 use crate::router::request::{Reason, Verdict};
 
-/// Longest latency told apart, in milliseconds.
+/// Maximum latency that a histogram resolves, in milliseconds; longer ones count as this.
 const LATENCY_MAX: u64 = 600_000;
-/// Significant digits of a histogram.
+/// Number of significant decimal digits that a histogram keeps of a value.
 const DIGITS: u8 = 2;
-/// Minutes of burn remembered.
+/// Number of minutes for which met and missed objectives are kept.
 pub const MINUTES: u64 = 60;
 
-/// Whose requests a series is about.
+/// The requests that a series covers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
     /// The customer.
@@ -32,42 +32,43 @@
     pub serves: String,
 }
 
-/// Requests of one minute that met the objective, and that did not.
+/// Numbers of requests in one minute that met and missed the objective.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Minute {
-    /// How many minutes ago.
+    /// Age of the minute, in minutes.
     pub ago: u64,
-    /// Met it.
+    /// Requests that met the objective.
     pub good: u64,
-    /// Did not.
+    /// Requests that missed the objective.
     pub bad: u64,
 }
 
-/// One series, as routers report it.
+/// One series, in the form in which routers report it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Series {
-    /// Whose.
+    /// The requests that the series covers.
     pub key: Key,
-    /// The objective that applied last.
+    /// The objective that applied to the latest request.
     pub objective: Objective,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
-    /// Those that ran.
+    /// Number of requests that ran.
     pub ran: u64,
     /// Tokens billed.
     pub billed: u64,
-    /// The others, by reason.
+    /// Numbers of the other requests, by reason.
     pub refused: BTreeMap<String, u64>,
-    /// Time to the first token, in milliseconds: a histogram in its library's V2 form, base64.
+    /// Time to the first token, in milliseconds: a histogram in the V2 format of HdrHistogram, as base64.
     pub first: String,
-    /// Time between tokens, likewise.
+    /// Time between tokens, in milliseconds, in the same format.
     pub between: String,
-    /// Burn by minute, newest first.
+    /// Requests that met and missed the objective by minute, newest first.
     pub minutes: Vec<Minute>,
 }
 
+/// A series while it is recorded.
 #[derive(Debug)]
-struct Live {
+struct LiveSeries {
     objective: Objective,
     requests: u64,
     ran: u64,
@@ -75,51 +76,52 @@
     refused: BTreeMap<String, u64>,
     first: Histogram<u64>,
     between: Histogram<u64>,
+    /// Minutes since the start, each with the numbers of requests that met and missed the objective, newest first.
     minutes: VecDeque<(u64, u64, u64)>,
 }
 
-/// A histogram of latencies.
+/// Creates an empty histogram of latencies.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_max(LATENCY_MAX, DIGITS).expect("the bounds are constant")
 }
 
-/// A histogram that cannot be read.
+/// The reason why a histogram cannot be decoded.
 #[derive(Debug, Snafu)]
-pub enum Unreadable {
-    /// It is not base64.
+pub enum DecodeError {
+    /// The text is not base64.
     #[snafu(display("{source}"))]
     Text {
-        /// Where.
+        /// The position and the cause.
         source: base64::DecodeError,
     },
-    /// It is not of its library's V2 form.
+    /// The bytes are not a histogram in the V2 format.
     #[snafu(display("{error}"))]
-    Form {
-        /// What is wrong.
+    Format {
+        /// The cause.
         error: DeserializeError,
     },
 }
 
-/// Reads a histogram as series carry it.
+/// Decodes a histogram of a [`Series`].
 ///
 /// # Errors
-/// What is wrong with it.
-pub fn decode(text: &str) -> Result<Histogram<u64>, Unreadable> {
+/// If the text is not base64, or its bytes are not a histogram.
+pub fn decode(text: &str) -> Result<Histogram<u64>, DecodeError> {
     let bytes = STANDARD.decode(text).context(TextSnafu)?;
     let histogram = Deserializer::new().deserialize(&mut bytes.as_slice());
-    histogram.map_err(|error| Unreadable::Form { error })
+    histogram.map_err(|error| DecodeError::Format { error })
 }
 
-/// Writes a histogram as series carry it.
+/// Encodes a histogram for a [`Series`].
 pub fn encode(histogram: &Histogram<u64>) -> String {
     let mut bytes = Vec::new();
     V2Serializer::new()
         .serialize(histogram, &mut bytes)
-        .expect("a vector takes all that is written");
+        .expect("writing to a vector cannot fail");
     STANDARD.encode(bytes)
 }
 
-/// What one request measured.
+/// The latencies of one request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sample {
     /// Time to the first token, in milliseconds.
@@ -128,11 +130,11 @@
     pub between_ms: Option<u64>,
 }
 
-/// All series of a router.
+/// The series of a router.
 #[derive(Debug)]
 pub struct Metrics {
     start: Instant,
-    series: Mutex<BTreeMap<Key, Live>>,
+    series: Mutex<BTreeMap<Key, LiveSeries>>,
 }
 
 impl Default for Metrics {
@@ -145,6 +147,7 @@
 }
 
 impl Metrics {
+    /// Minutes since the start.
     fn minute(&self) -> u64 {
         self.start.elapsed().as_secs() / 60
     }
@@ -152,7 +155,7 @@
     /// Records the time between two tokens.
     pub fn record_gap(&self, key: &Key, millis: u64) {
         let mut series = self.series.lock().unwrap_or_else(PoisonError::into_inner);
-        let live = series.entry(key.clone()).or_insert_with(Live::new);
+        let live = series.entry(key.clone()).or_insert_with(LiveSeries::new);
         live.between.saturating_record(millis);
     }
 
@@ -166,7 +169,7 @@
     ) {
         let minute = self.minute();
         let mut series = self.series.lock().unwrap_or_else(PoisonError::into_inner);
-        let live = series.entry(key.clone()).or_insert_with(Live::new);
+        let live = series.entry(key.clone()).or_insert_with(LiveSeries::new);
         live.objective = objective;
         live.requests += 1;
         if let Some(first) = sample.first_ms {
@@ -182,11 +185,11 @@
             }
         }
         if let Some(good) = is_good(objective, verdict, sample) {
-            live.burn(minute, good);
+            live.count_objective(minute, good);
         }
     }
 
-    /// All series as they are now.
+    /// A snapshot of all series.
     pub fn export(&self) -> Vec<Series> {
         let minute = self.minute();
         let series = self.series.lock().unwrap_or_else(PoisonError::into_inner);
@@ -197,7 +200,7 @@
     }
 }
 
-/// Whether a request met its objective; `None` where the system could do nothing about it.
+/// Whether a request met its objective; `None` if it was refused for a cause outside the system's control.
 pub fn is_good(objective: Objective, verdict: &Verdict, sample: Sample) -> Option<bool> {
     match verdict {
         Verdict::Ran { .. } => {
@@ -220,7 +223,7 @@
     }
 }
 
-impl Live {
+impl LiveSeries {
     fn new() -> Self {
         Self {
             objective: Objective::default(),
@@ -234,7 +237,8 @@
         }
     }
 
-    fn burn(&mut self, minute: u64, good: bool) {
+    /// Counts a request as having met or missed the objective in the given minute.
+    fn count_objective(&mut self, minute: u64, good: bool) {
         if self.minutes.front().is_none_or(|(at, _, _)| *at != minute) {
             self.minutes.push_front((minute, 0, 0));
             self.minutes.truncate(MINUTES as usize);
--- a/src/router/report/mod.rs
+++ b/src/router/report/mod.rs
@@ -1,5 +1,5 @@
-//! What a router remembers to report: latencies and burn by customer, class and model, and the
-//! decisions on each recent request.
+//! The data that a router keeps for reports: latencies and burn rates by customer, class and model, and the decisions
+//! on recent requests.
 
 pub mod burn;
 mod html;
--- a/src/router/report/trail.rs
+++ b/src/router/report/trail.rs
@@ -1,4 +1,4 @@
-//! Why recent requests went as they did.
+//! The decisions on recent requests, for `GET /v1/explain/{id}`.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Mutex, PoisonError};
@@ -8,17 +8,17 @@
 
 use crate::router::request::Id;
 
-/// Requests remembered.
-const KEPT: usize = 4_096;
-/// Steps remembered of one request.
+/// Maximum number of requests that are kept.
+const REQUESTS_MAX: usize = 4_096;
+/// Maximum number of steps that are kept per request; later ones are dropped.
 const STEPS_MAX: usize = 32;
 
 /// One decision on a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Step {
-    /// Milliseconds since this router first saw it.
+    /// Time since the first step of the request on this router, in milliseconds.
     pub after_ms: u64,
-    /// What was decided, and why.
+    /// The decision and its reason.
     pub what: String,
 }
 
@@ -31,6 +31,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     steps: HashMap<Id, Steps>,
+    /// The requests, oldest first.
     order: VecDeque<Id>,
 }
 
@@ -55,7 +56,7 @@
             let after_ms = u64::try_from(steps.start.elapsed().as_millis()).unwrap_or(u64::MAX);
             steps.steps.push(Step { after_ms, what });
         }
-        while inner.order.len() > KEPT
+        while inner.order.len() > REQUESTS_MAX
             && let Some(oldest) = inner.order.pop_front()
         {
             inner.steps.remove(&oldest);
