--- a/src/router/report/metrics.rs
+++ b/src/router/report/metrics.rs
@@ -200,7 +200,7 @@
     }
 }
 
-/// Whether a request met its objective; `None` if it was refused for a cause outside the system's control.
+/// Whether a request met its objective; `None` if it failed for a cause outside the system's control.
 pub fn is_good(objective: Objective, verdict: &Verdict, sample: Sample) -> Option<bool> {
     match verdict {
         Verdict::Ran { .. } => {
--- a/tests/bad_input.rs
+++ b/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Input that is wrong is told so, and costs nothing.
+//! Invalid input is rejected with a message that names the fault; nothing runs or is billed.
 
 mod common;
 
@@ -8,11 +8,11 @@
 
 const CHAT: &str = "/v1/chat/completions";
 
-fn refused(answer: &Answer, status: u16, reason: &str, told: &str) {
+fn refused(answer: &Answer, status: u16, reason: &str, message: &str) {
     assert_eq!(answer.status, status, "{answer:?}");
     assert_eq!(answer.header("lanedeck-verdict"), "not_run", "{answer:?}");
     assert_eq!(answer.header("lanedeck-reason"), reason, "{answer:?}");
-    assert!(answer.body.contains(told), "{answer:?}");
+    assert!(answer.body.contains(message), "{answer:?}");
 }
 
 #[test]
@@ -118,7 +118,7 @@
     let answer = area.try_send(Method::POST, to, CHAT, &kiosks, &[], &body);
     assert!(
         answer.is_none_or(|answer| answer.status == 413),
-        "an oversized body"
+        "an oversized body was not rejected"
     );
 
     assert!(area.ran().is_empty());
@@ -176,7 +176,7 @@
         "intent",
         "target \\\"none\\\" is not known",
     );
-    // A plan made by hand is judged by the fold all the same.
+    // The fold checks a plan that was altered by hand like any other.
     let mut plan = area.plan(0, &budget("b", "kiosks", 5));
     plan["changes"][0]["budget"]["terms"]["prepaid"] = json!(u64::MAX);
     assert_eq!(area.confirm(0, &plan).status, 422);
--- a/tests/burn_sums.rs
+++ b/tests/burn_sums.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of the burn report, by numbers worked out by hand.
+//! The arithmetic of the burn report, checked against values calculated by hand.
 
 use std::collections::BTreeMap;
 
@@ -25,9 +25,9 @@
         minute(5, 0, 100),
         minute(59, 100, 0),
     ];
-    // 10 of 200 missed, 5 in 100 may: the allowance is used up exactly.
+    // 10 of 200 missed the objective and 5 % may: the error budget is used up exactly.
     assert!((burn::rate(&minutes, OBJECTIVE, burn::SHORT) - 1.0).abs() < 1e-9);
-    // 110 of 400 missed: 27.5 in 100, 5.5 times what may be.
+    // 110 of 400 missed the objective: 27.5 %, which is 5.5 times the allowed 5 %.
     assert!((burn::rate(&minutes, OBJECTIVE, burn::LONG) - 5.5).abs() < 1e-9);
     assert!(burn::rate(&[], OBJECTIVE, burn::LONG) == 0.0);
 }
@@ -50,7 +50,7 @@
         is_good(OBJECTIVE, &refused(Reason::Overloaded), Sample::default()),
         Some(false)
     );
-    // An empty budget is the customer's affair, and burns nothing.
+    // A customer that has used up its budget does not count against the objective.
     assert_eq!(
         is_good(
             OBJECTIVE,
@@ -68,7 +68,7 @@
         class: "std".into(),
         serves: "m".into(),
     };
-    let one = |firsts: std::ops::RangeInclusive<u64>| {
+    let export = |firsts: std::ops::RangeInclusive<u64>| {
         let metrics = Metrics::default();
         for first in firsts {
             let sample = Sample {
@@ -85,15 +85,15 @@
         metrics.record_request(&key, OBJECTIVE, &refused, Sample::default());
         metrics.export()
     };
-    let rows = burn::merge(one(1..=50).into_iter().chain(one(51..=100)));
+    let rows = burn::merge(export(1..=50).into_iter().chain(export(51..=100)));
     let [row] = &rows[..] else {
-        panic!("one row: {rows:?}")
+        panic!("expected one row, got {rows:?}")
     };
     assert_eq!((row.requests, row.ran, row.billed), (102, 100, 200));
     assert_eq!(row.refused, BTreeMap::from([("too_late".to_owned(), 2)]));
     assert_eq!(row.first_ms, [50, 95, 99]);
     assert_eq!(row.between_ms, [10, 10, 10]);
-    // 2 of 102 missed, against 5 in 100.
+    // 2 of 102 missed the objective and 5 % may.
     assert!((row.burn_short - 2.0 / 102.0 / 0.05).abs() < 1e-9);
     let page = page(&rows);
     assert!(
--- a/tests/whole_answers.rs
+++ b/tests/whole_answers.rs
@@ -1,4 +1,7 @@
-//! Engines that cut streams, repeat frames, and mix up requests; callers get whole answers.
+//! Answers stay complete when engines cut streams, repeat frames or send frames of other requests.
+//!
+//! Guards against answers with missing, repeated or foreign words, and against a partial answer that is reported as
+//! complete.
 
 mod common;
 
@@ -17,7 +20,7 @@
     }
     let entry = format!("--entry={}", area.routers[0].address);
     let key = format!("--key=kiosks:{SECRET}");
-    // The load tool checks every word, and exits with 1 if one is wrong.
+    // The load tool checks every word of the answers and exits with 1 if one is wrong.
     let output = lanedeck(&["load", &entry, &key, "--requests=120", "--rate=100"]);
     let text = text(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
@@ -38,7 +41,7 @@
     area.faults(&area.engines[0], &faults);
     let to = area.routers[0].address;
     let answer = area.send(Method::POST, to, CHAT, &key("kiosks"), &[], &chat("x", 20));
-    // Resumes that bring nothing new are no reason to give up what can still be had.
+    // Resumes without a new frame must not end a stream that can still be resumed.
     assert_eq!(answer.events().last(), Some(&"[DONE]"), "{answer:?}");
     assert_eq!(answer.events().len(), 20 + 2);
 }
@@ -53,15 +56,15 @@
     let to = area.routers[0].address;
     let answer = area.send(Method::POST, to, CHAT, &key("kiosks"), &[], &chat("x", 20));
     let events = answer.events();
-    // A part is never called whole: the stream ends in an error, without the closing mark.
+    // A partial answer is never reported as complete: the stream ends in an error, without `[DONE]`.
     assert_ne!(events.last(), Some(&"[DONE]"));
     let last = events.last().copied().unwrap_or(&answer.body);
     assert!(
         last.contains("may_have_run") && last.contains("target_failed"),
         "{answer:?}"
     );
-    // What was seen of it is billed, once.
-    area.wait("the bill", |area| {
+    // The tokens received are billed, once.
+    area.wait("the request to be billed", |area| {
         area.seen("kiosks")["billed"].as_u64() > Some(0)
     });
     assert!(area.seen("kiosks")["billed"].as_u64() <= Some(2 + 20));
@@ -86,7 +89,7 @@
     }
     assert_eq!(area.ran().get(&id), Some(&1));
     area.settled("kiosks", 50);
-    // One that says it has not run it is believed.
+    // A target's statement that it did not run the request is trusted.
     area.faults(&area.services[0], &json!({"refuses": true}));
     let answer = area.send(Method::POST, to, path, &key("kiosks"), &[], "refund");
     assert_eq!(answer.header("lanedeck-verdict"), "not_run", "{answer:?}");
