--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -92,9 +92,9 @@
     fn inquire(&self, id: Id, request: Id, target: SocketAddr) {
         let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
-            let fate = relay.fate(target, request).await;
-            if let Some(fate) = fate.filter(|fate| fate.ran && fate.done) {
-                let used = Tokens(fate.used);
+            let state = relay.request_state(target, request).await;
+            if let Some(state) = state.filter(|state| state.ran && state.done) {
+                let used = Tokens(state.used);
                 shared.tell(Input::InquiryAnswered { id, used });
             }
         });
@@ -131,13 +131,13 @@
             "dispatch {} to {target}, fence {}",
             dispatch.attempt, dispatch.choice.fence
         );
-        self.shared.trail.note(dispatch.id, what);
+        self.shared.trail.record(dispatch.id, what);
         tracing::debug!(event = "dispatched", request = %dispatch.id, %target, attempt = dispatch.attempt);
         let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
             shared.note_active(target);
             let end = run(&relay, &shared, &answer, dispatch).await;
-            shared.trail.note(
+            shared.trail.record(
                 dispatch.id,
                 format!("attempt {} ended: {end:?}", dispatch.attempt),
             );
@@ -149,11 +149,13 @@
         let Some(answer) = self.shared.answers.get(ticket) else {
             return;
         };
-        let about = &answer.about;
+        let request = &answer.request;
         let key = key(&answer);
-        let objective = self.shared.config.load().objective(&about.class);
-        let sample = answer.watch.sample();
-        self.shared.metrics.note(&key, objective, &verdict, sample);
+        let objective = self.shared.config.load().objective(&request.class);
+        let sample = answer.frame_times.sample();
+        self.shared
+            .metrics
+            .record_request(&key, objective, &verdict, sample);
         let reason = verdict.reason().map_or("none", |reason| reason.word());
         let billed = match verdict {
             Verdict::Ran { billed } => billed.0,
@@ -161,18 +163,18 @@
         };
         tracing::info!(
             event = "request_finished",
-            request = %about.id,
-            customer = about.customer,
-            class = about.class,
-            serves = about.serves,
+            request = %request.id,
+            customer = request.customer,
+            class = request.class,
+            serves = request.serves,
             verdict = verdict.word(),
             reason,
             billed,
             first_ms = sample.first_ms,
-            total_ms = about.arrived.elapsed().as_millis() as u64,
+            total_ms = request.arrived.elapsed().as_millis() as u64,
         );
-        self.shared.trail.note(
-            about.id,
+        self.shared.trail.record(
+            request.id,
             format!("verdict {}: {reason}, billed {billed}", verdict.word()),
         );
         answer.end(verdict);
@@ -186,8 +188,8 @@
         let Some(answer) = self.shared.answers.remove(ticket) else {
             return;
         };
-        self.shared.trail.note(
-            answer.about.id,
+        self.shared.trail.record(
+            answer.request.id,
             "a retry joined the first arrival".to_owned(),
         );
         match self.shared.answers.get(to) {
@@ -201,9 +203,9 @@
 
 fn key(answer: &Answer) -> Key {
     Key {
-        customer: answer.about.customer.clone(),
-        class: answer.about.class.clone(),
-        serves: answer.about.serves.clone(),
+        customer: answer.request.customer.clone(),
+        class: answer.request.class.clone(),
+        serves: answer.request.serves.clone(),
     }
 }
 
@@ -215,9 +217,9 @@
 ) -> crate::router::control::End {
     let key = key(answer);
     let seen = |_index| {
-        let at = u64::try_from(answer.about.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
-        if let Some(gap) = answer.watch.frame(at) {
-            shared.metrics.note_gap(&key, gap);
+        let at = u64::try_from(answer.request.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
+        if let Some(gap) = answer.frame_times.record(at) {
+            shared.metrics.record_gap(&key, gap);
         }
     };
     let end = relay.run(answer, dispatch, seen).await;
