--- a/src/router/budget/mod.rs
+++ b/src/router/budget/mod.rs
@@ -19,5 +19,5 @@
 pub use holder::{Holder, Shortage};
 pub use ledger::Ledger;
 pub use reservation::{Price, Reservation};
-pub use ward::{State, Ward};
+pub use ward::{Replica, State};
 pub use witness::{Answer, Doubt, Replay, Resolved, Taken, Witness};
--- a/src/router/budget/ward.rs
+++ b/src/router/budget/ward.rs
@@ -25,13 +25,13 @@
 
 /// What is kept for one holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ward {
+pub struct Replica {
     pub(super) totals: BTreeMap<BudgetKey, Tokens>,
     pub(super) entries: BTreeMap<u64, (BudgetKey, State)>,
     pub(super) epoch: u32,
 }
 
-impl Ward {
+impl Replica {
     /// A holder's accounts, for a new witness: totals, open requests, settled requests.
     pub fn new(
         totals: &[(BudgetKey, Tokens)],
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -10,7 +10,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Reservation;
-use super::ward::{State, Ward};
+use super::ward::{Replica, State};
 use crate::router::key::{BudgetKey, Incarnation};
 use crate::router::log::Closed;
 use crate::router::request::{EPOCH_KEEP, Id};
@@ -89,7 +89,7 @@
 
 #[derive(Clone, Debug)]
 struct Held {
-    ward: Ward,
+    replica: Replica,
     /// The holder's last call and what it was answered.
     last: (u64, Vec<Answer>),
     heard: Millis,
@@ -108,29 +108,29 @@
 /// All wards of a router.
 #[derive(Clone, Debug, Default)]
 pub struct Witness {
-    wards: BTreeMap<Incarnation, Held>,
+    replicas: BTreeMap<Incarnation, Held>,
 }
 
 impl Witness {
     /// Becomes a holder's witness, with its accounts so far.
-    pub fn adopt(&mut self, now: Millis, holder: Incarnation, ward: Ward) -> Answer {
-        match self.wards.get_mut(&holder) {
+    pub fn adopt(&mut self, now: Millis, holder: Incarnation, replica: Replica) -> Answer {
+        match self.replicas.get_mut(&holder) {
             Some(held) if held.closed.is_some() => Answer::Closed { billed: false },
             Some(held) => {
-                held.ward = ward;
+                held.replica = replica;
                 held.heard = now;
                 Answer::Noted
             }
             None => {
                 let held = Held {
-                    ward,
+                    replica,
                     last: (0, Vec::new()),
                     heard: now,
                     closed: None,
                     report: Vec::new(),
                     resolved: Vec::new(),
                 };
-                self.wards.insert(holder, held);
+                self.replicas.insert(holder, held);
                 Answer::Noted
             }
         }
@@ -144,15 +144,15 @@
         budget: BudgetKey,
         reservation: Reservation,
     ) -> Answer {
-        let Some(held) = self.wards.get_mut(&id.incarnation) else {
+        let Some(held) = self.replicas.get_mut(&id.incarnation) else {
             return Answer::Unknown;
         };
         if held.closed.is_some() {
             return Answer::Closed { billed: false };
         }
         held.heard = now;
-        held.ward.epoch = held.ward.epoch.max(id.epoch());
-        let entry = held.ward.entries.entry(id.nonce);
+        held.replica.epoch = held.replica.epoch.max(id.epoch());
+        let entry = held.replica.entries.entry(id.nonce);
         let (_, state) = entry.or_insert((budget, State::Open(reservation)));
         // Another dispatch of it may go elsewhere; what is settled stays settled.
         if let State::Open(known) = state {
@@ -163,22 +163,22 @@
 
     /// The holder has billed a request; `None` means that it was never dispatched.
     pub fn settle(&mut self, now: Millis, id: Id, billed: Option<Tokens>) -> Answer {
-        let Some(held) = self.wards.get_mut(&id.incarnation) else {
+        let Some(held) = self.replicas.get_mut(&id.incarnation) else {
             return Answer::Unknown;
         };
         held.heard = now;
-        let Some((budget, state)) = held.ward.entries.get_mut(&id.nonce) else {
+        let Some((budget, state)) = held.replica.entries.get_mut(&id.nonce) else {
             return Answer::Noted;
         };
         let budget = *budget;
         match (*state, billed, held.closed) {
             (State::Open(_), Some(billed), None) => {
                 *state = State::Settled(billed);
-                *held.ward.totals.entry(budget).or_default() += billed;
+                *held.replica.totals.entry(budget).or_default() += billed;
                 Answer::Noted
             }
             (State::Open(_), None, None) => {
-                held.ward.entries.remove(&id.nonce);
+                held.replica.entries.remove(&id.nonce);
                 Answer::Noted
             }
             (State::Open(_), bill, Some(_)) => {
@@ -196,7 +196,7 @@
 
     /// Whether the holder's call `seq` is new, was answered already, or cannot be taken.
     pub fn replay(&self, holder: Incarnation, seq: u64) -> Replay {
-        match self.wards.get(&holder) {
+        match self.replicas.get(&holder) {
             None if is_first(seq) => Replay::New,
             None => Replay::Stale,
             Some(held) if seq == held.last.0 => Replay::Again(held.last.1.clone()),
@@ -208,20 +208,20 @@
 
     /// Remembers what the call `seq` was answered.
     pub fn answered(&mut self, holder: Incarnation, seq: u64, answers: &[Answer]) {
-        if let Some(held) = self.wards.get_mut(&holder) {
+        if let Some(held) = self.replicas.get_mut(&holder) {
             held.last = (seq, answers.to_vec());
         }
     }
 
     /// A holder is still there.
     pub fn heard(&mut self, now: Millis, holder: Incarnation, epoch: u32) -> Answer {
-        match self.wards.get_mut(&holder) {
+        match self.replicas.get_mut(&holder) {
             None => Answer::Unknown,
             Some(held) if held.closed.is_some() => Answer::Closed { billed: false },
             Some(held) => {
                 held.heard = now;
-                held.ward.epoch = held.ward.epoch.max(epoch);
-                held.ward.prune();
+                held.replica.epoch = held.replica.epoch.max(epoch);
+                held.replica.prune();
                 Answer::Noted
             }
         }
@@ -229,8 +229,8 @@
 
     /// Wards that have been silent for `span` and are not closed.
     pub fn silent(&self, now: Millis, span: Millis) -> Vec<Incarnation> {
-        let wards = self.wards.iter();
-        wards
+        let replicas = self.replicas.iter();
+        replicas
             .filter(|(_, held)| held.closed.is_none() && now > held.heard + span)
             .map(|(holder, _)| *holder)
             .collect()
@@ -238,18 +238,18 @@
 
     /// Acknowledges nothing more for a holder from here on.
     pub fn close(&mut self, now: Millis, holder: Incarnation) {
-        if let Some(held) = self.wards.get_mut(&holder)
+        if let Some(held) = self.replicas.get_mut(&holder)
             && held.closed.is_none()
         {
             held.closed = Some(now);
-            held.report = held.ward.report();
+            held.report = held.replica.report();
         }
     }
 
     /// Closed wards.
     pub fn closed(&self) -> Vec<Incarnation> {
-        let wards = self.wards.iter();
-        wards
+        let replicas = self.replicas.iter();
+        replicas
             .filter(|(_, held)| held.closed.is_some())
             .map(|(holder, _)| *holder)
             .collect()
@@ -258,7 +258,7 @@
     /// What the close record says of a holder's budgets in one shard: the accounts at the close,
     /// however late it is written. What is decided since follows in resolve records.
     pub fn report(&self, holder: Incarnation, shard: u8) -> Vec<Closed> {
-        let report = self.wards.get(&holder).map(|held| held.report.iter());
+        let report = self.replicas.get(&holder).map(|held| held.report.iter());
         let report = report.into_iter().flatten();
         report
             .filter(|closed| closed.budget.shard == shard)
@@ -269,18 +269,18 @@
     /// Judges whether `by` may run a request of a lost holder; `repeatable` requests that were
     /// dispatched may be taken over, others may not.
     pub fn take(&mut self, id: Id, by: Incarnation, repeatable: bool) -> Taken {
-        let Some(held) = self.wards.get_mut(&id.incarnation) else {
+        let Some(held) = self.replicas.get_mut(&id.incarnation) else {
             return Taken::Unknown;
         };
         if held.closed.is_none() {
             return Taken::Alive;
         }
-        let Some((budget, state)) = held.ward.entries.get_mut(&id.nonce) else {
-            if id.epoch() + EPOCH_KEEP < held.ward.epoch {
+        let Some((budget, state)) = held.replica.entries.get_mut(&id.nonce) else {
+            if id.epoch() + EPOCH_KEEP < held.replica.epoch {
                 return Taken::Expired;
             }
             let nowhere = BudgetKey { shard: 0, index: 0 };
-            held.ward
+            held.replica
                 .entries
                 .insert(id.nonce, (nowhere, State::Taken(by)));
             return Taken::Fresh;
@@ -304,24 +304,27 @@
 
     /// Bills decided since a close that the log may not have yet.
     pub fn unwritten(&self) -> Vec<Resolved> {
-        let wards = self.wards.values();
-        wards
+        let replicas = self.replicas.values();
+        replicas
             .flat_map(|held| held.resolved.iter().copied())
             .collect()
     }
 
     /// The log has a bill.
     pub fn written(&mut self, id: Id) {
-        if let Some(held) = self.wards.get_mut(&id.incarnation) {
+        if let Some(held) = self.replicas.get_mut(&id.incarnation) {
             held.resolved.retain(|resolved| resolved.id != id);
         }
     }
 
     /// Requests of closed holders that are still open: ask their targets.
     pub fn doubtful(&self) -> Vec<Doubt> {
-        let closed = self.wards.iter().filter(|(_, held)| held.closed.is_some());
+        let closed = self
+            .replicas
+            .iter()
+            .filter(|(_, held)| held.closed.is_some());
         let entries = closed.flat_map(|(holder, held)| {
-            let entries = held.ward.entries.iter();
+            let entries = held.replica.entries.iter();
             entries.map(|(nonce, (budget, state))| (*holder, *nonce, *budget, *state))
         });
         let open = entries.filter_map(|(incarnation, nonce, budget, state)| match state {
@@ -337,11 +340,11 @@
 
     /// The target of a closed holder's request says that it is done, and what it used.
     pub fn told(&mut self, id: Id, used: Tokens) {
-        let held = self.wards.get(&id.incarnation);
+        let held = self.replicas.get(&id.incarnation);
         let Some(held) = held.filter(|held| held.closed.is_some()) else {
             return;
         };
-        if let Some((_, State::Open(reservation))) = held.ward.entries.get(&id.nonce) {
+        if let Some((_, State::Open(reservation))) = held.replica.entries.get(&id.nonce) {
             let (heard, billed) = (held.heard, reservation.bill(used));
             self.settle(heard, id, Some(billed));
         }
@@ -349,28 +352,28 @@
 
     /// Forgets a holder that has found another witness.
     pub fn forget(&mut self, holder: Incarnation) {
-        self.wards.remove(&holder);
+        self.replicas.remove(&holder);
     }
 
     /// Forgets wards closed long ago.
     pub fn prune(&mut self, now: Millis) {
-        self.wards
+        self.replicas
             .retain(|_, held| held.closed.is_none_or(|at| now < at + CLOSED_KEEP));
     }
 
     /// Whether a holder has named this router.
     pub fn has(&self, holder: Incarnation) -> bool {
-        self.wards.contains_key(&holder)
+        self.replicas.contains_key(&holder)
     }
 
     /// Holders that have named this router, with when each was last heard.
     pub fn holders(&self) -> impl Iterator<Item = (Incarnation, Millis)> {
-        let wards = self.wards.iter();
-        wards.map(|(holder, held)| (*holder, held.heard))
+        let replicas = self.replicas.iter();
+        replicas.map(|(holder, held)| (*holder, held.heard))
     }
 
     /// Holders that this router is the witness of.
-    pub fn wards(&self) -> usize {
-        self.wards.len()
+    pub fn replica_count(&self) -> usize {
+        self.replicas.len()
     }
 }
--- a/src/router/control/link.rs
+++ b/src/router/control/link.rs
@@ -90,11 +90,11 @@
             }
         }
         let in_flight = self.in_flight.as_ref()?;
-        Some(Request::Ward {
+        Some(Request::Replicate {
             to: self.to,
             holder: self.holder,
             seq: self.seq,
-            asks: in_flight.notices.clone(),
+            notices: in_flight.notices.clone(),
         })
     }
 
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -150,7 +150,7 @@
             stopping: self.stopping,
             log_up: !self.is_log_out(),
             witness: me.witness.map(hex),
-            wards: self.witnesses.values().map(Witness::wards).sum(),
+            wards: self.witnesses.values().map(Witness::replica_count).sum(),
             applied: applied.collect(),
             waiting: self
                 .queues
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -98,14 +98,14 @@
                 let peers = self.membership.tell(self.now, &mut self.rng);
                 Reply::Heartbeat { peers }
             }
-            Request::Ward { to, holder, .. } if !self.is_witness_of(to, holder) => Reply::Gone,
+            Request::Replicate { to, holder, .. } if !self.is_witness_of(to, holder) => Reply::Gone,
             Request::Take { to, .. } if !self.witnesses.contains_key(&to) => Reply::Gone,
-            Request::Ward {
+            Request::Replicate {
                 to,
                 holder,
                 seq,
-                asks,
-            } => Reply::Ward(self.answer_notices(to, holder, seq, asks)),
+                notices,
+            } => Reply::Replicate(self.answer_notices(to, holder, seq, notices)),
             Request::Take {
                 id,
                 shard,
@@ -351,7 +351,7 @@
     pub(super) fn drop_past(&mut self) {
         let me = self.incarnation();
         self.witnesses
-            .retain(|name, witness| *name == me || witness.wards() > 0);
+            .retain(|name, witness| *name == me || witness.replica_count() > 0);
         let witnesses = &self.witnesses;
         self.past_writers
             .retain(|(name, _), _| witnesses.contains_key(name));
@@ -435,7 +435,7 @@
         nonce,
     };
     match notice {
-        Notice::Adopt(ward) => witness.adopt(now, holder, ward),
+        Notice::Adopt(replica) => witness.adopt(now, holder, replica),
         Notice::Open {
             nonce,
             budget,
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -7,7 +7,7 @@
 use super::link::Link;
 use super::state::{LinkKey, PendingCall};
 use super::{Action, State};
-use crate::router::budget::{Answer, Holder, Ward, Witness};
+use crate::router::budget::{Answer, Holder, Replica, Witness};
 use crate::router::key::{Incarnation, SHARDS, Stream};
 use crate::router::log::{Record, Writer};
 use crate::router::message::{Notice, Reply};
@@ -102,7 +102,7 @@
         if let Some(witness) = chosen {
             self.link_count += 1;
             let mut link = Link::new(self.now, me, witness, self.link_count);
-            link.push(Notice::Adopt(self.ward()));
+            link.push(Notice::Adopt(self.replica()));
             link.open = self.by_nonce.keys().copied().collect();
             link.settled = self.settling.keys().copied().collect();
             self.links.insert((me, witness), link);
@@ -110,7 +110,7 @@
         self.membership.me_mut().witness = chosen;
     }
 
-    fn ward(&self) -> Ward {
+    fn replica(&self) -> Replica {
         let me = self.incarnation();
         let ours = self
             .by_nonce
@@ -121,7 +121,7 @@
             .filter_map(|job| Some((job.budget, job.nonce, job.reservation()?)))
             .collect();
         let (totals, settled) = (self.holder.totals(), self.holder.settled());
-        Ward::new(&totals, &open, &settled, self.epoch())
+        Replica::new(&totals, &open, &settled, self.epoch())
     }
 
     /// Drops links that are not needed any more, and with an earlier incarnation's last link its settlements.
@@ -199,7 +199,7 @@
             return;
         };
         let answers = match reply {
-            Some(Reply::Ward(answers)) => answers,
+            Some(Reply::Replicate(answers)) => answers,
             Some(_) => {
                 link.failed(self.now, call);
                 self.witness_lost(key);
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::router::budget::{Answer, Reservation, Taken, Ward};
+use crate::router::budget::{Answer, Replica, Reservation, Taken};
 use crate::router::host::Peer;
 use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::router::log::Checkpoint;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
     /// Be my witness; these are my accounts.
-    Adopt(Ward),
+    Adopt(Replica),
     /// I am about to dispatch a request.
     Open {
         /// Its number.
@@ -47,7 +47,7 @@
     },
     /// Asks of a holder to its witness. A call is repeated with the same `seq` until answered,
     /// and takes effect once.
-    Ward {
+    Replicate {
         /// The process meant; a new one at its address is no witness.
         to: Incarnation,
         /// The holder.
@@ -55,7 +55,7 @@
         /// One more than the last; the upper half counts the holder's links.
         seq: u64,
         /// In order.
-        asks: Vec<Notice>,
+        notices: Vec<Notice>,
     },
     /// May I run this request of a lost holder of yours?
     Take {
@@ -86,7 +86,7 @@
         peers: Vec<Peer>,
     },
     /// To a holder's asks, one each.
-    Ward(Vec<Answer>),
+    Replicate(Vec<Answer>),
     /// To a takeover.
     Taken(Taken),
     /// To a question for state.
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use lanedeck::router::budget::{Answer, Ledger, Price, Reservation, Taken, Ward};
+use lanedeck::router::budget::{Answer, Ledger, Price, Replica, Reservation, Taken};
 use lanedeck::router::config::{Config, Intent, Proposal};
 use lanedeck::router::control::{Status, StatusBudget, StatusPeer};
 use lanedeck::router::host::Peer;
@@ -147,14 +147,14 @@
             peers: vec![peer()],
         },
     );
-    let ward = Ward::new(
+    let replica = Replica::new(
         &[(BUDGET, Tokens(40))],
         &[(BUDGET, 9, reservation(Price::Permille(1_500)))],
         &[(BUDGET, 8, Tokens(12))],
         2,
     );
-    let asks = vec![
-        Notice::Adopt(ward),
+    let notices = vec![
+        Notice::Adopt(replica),
         Notice::Open {
             nonce: 9,
             budget: BUDGET,
@@ -166,11 +166,11 @@
         },
         Notice::Heard { epoch: 2 },
     ];
-    let request = Request::Ward {
+    let request = Request::Replicate {
         to: OTHER,
         holder: ME,
         seq: 1 << 32 | 5,
-        asks,
+        notices,
     };
     pin(
         "01fb2c01fd0807060504030201fd050000000100000004000103012802080301010c09030100fb8403fd0807060504030201fd0900000002000000000a010203fb282300fbdc050201090301fb8403fd0807060504030201fd0900000002000000000a010203fb282301020901210302",
@@ -208,7 +208,7 @@
         Answer::Closed { billed: true },
         Answer::Unknown,
     ];
-    pin("010300010102", &Reply::Ward(answers));
+    pin("010300010102", &Reply::Replicate(answers));
     let taken = [
         Taken::Fresh,
         Taken::Open,
--- a/tests/witness_rules.rs
+++ b/tests/witness_rules.rs
@@ -1,6 +1,6 @@
 //! A witness by itself: what it acknowledges, and how it decides takeovers.
 
-use lanedeck::router::budget::{Answer, Price, Replay, Reservation, Taken, Ward, Witness};
+use lanedeck::router::budget::{Answer, Price, Replay, Replica, Reservation, Taken, Witness};
 use lanedeck::router::key::{BudgetKey, Incarnation};
 use lanedeck::router::request::Id;
 use lanedeck::units::{Millis, Tokens};
@@ -37,8 +37,8 @@
         Answer::Unknown,
         "not a ward of this witness"
     );
-    let ward = Ward::new(&[], &[], &[], 1);
-    assert_eq!(witness.adopt(Millis(1), HOLDER, ward), Answer::Noted);
+    let replica = Replica::new(&[], &[], &[], 1);
+    assert_eq!(witness.adopt(Millis(1), HOLDER, replica), Answer::Noted);
     witness
 }
 
@@ -53,9 +53,9 @@
         witness.heard(Millis(3_000), HOLDER, 1),
         Answer::Closed { billed: false }
     );
-    let ward = Ward::new(&[], &[], &[], 1);
+    let replica = Replica::new(&[], &[], &[], 1);
     assert_eq!(
-        witness.adopt(Millis(3_000), HOLDER, ward),
+        witness.adopt(Millis(3_000), HOLDER, replica),
         Answer::Closed { billed: false }
     );
     let [closed] = &witness.report(HOLDER, 4)[..] else {
