--- a/src/router/budget/mod.rs
+++ b/src/router/budget/mod.rs
@@ -20,4 +20,4 @@
 pub use ledger::Ledger;
 pub use reservation::{Price, Reservation};
 pub use ward::{Replica, State};
-pub use witness::{Answer, Doubt, Replay, Resolved, Taken, Witness};
+pub use witness::{Answer, Doubt, Replay, Resolved, TakeoverAnswer, Witness};
--- a/src/router/budget/ward.rs
+++ b/src/router/budget/ward.rs
@@ -20,7 +20,7 @@
     /// Billed.
     Settled(Tokens),
     /// Another router runs it.
-    Taken(Incarnation),
+    TakenOver(Incarnation),
 }
 
 /// What is kept for one holder.
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
     /// Noted.
-    Noted,
+    Acknowledged,
     /// The holder was closed. For a settlement, `billed` says whether it still counts.
     Closed {
         /// Whether the bill stands.
@@ -35,7 +35,7 @@
 
 /// A witness's answer to a router that wants to run a lost holder's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Taken {
+pub enum TakeoverAnswer {
     /// It was never dispatched, and never will be: run it.
     Fresh,
     /// It was dispatched and not settled; it is released from the bill there: run and bill it.
@@ -60,7 +60,7 @@
     /// The next one.
     New,
     /// The last one once more, with what it was answered.
-    Again(Vec<Answer>),
+    Repeated(Vec<Answer>),
     /// An older one, or one with a gap before it.
     Stale,
 }
@@ -119,7 +119,7 @@
             Some(held) => {
                 held.replica = replica;
                 held.heard = now;
-                Answer::Noted
+                Answer::Acknowledged
             }
             None => {
                 let held = Held {
@@ -131,7 +131,7 @@
                     resolved: Vec::new(),
                 };
                 self.replicas.insert(holder, held);
-                Answer::Noted
+                Answer::Acknowledged
             }
         }
     }
@@ -158,7 +158,7 @@
         if let State::Open(known) = state {
             *known = reservation;
         }
-        Answer::Noted
+        Answer::Acknowledged
     }
 
     /// The holder has billed a request; `None` means that it was never dispatched.
@@ -168,18 +168,18 @@
         };
         held.heard = now;
         let Some((budget, state)) = held.replica.entries.get_mut(&id.nonce) else {
-            return Answer::Noted;
+            return Answer::Acknowledged;
         };
         let budget = *budget;
         match (*state, billed, held.closed) {
             (State::Open(_), Some(billed), None) => {
                 *state = State::Settled(billed);
                 *held.replica.totals.entry(budget).or_default() += billed;
-                Answer::Noted
+                Answer::Acknowledged
             }
             (State::Open(_), None, None) => {
                 held.replica.entries.remove(&id.nonce);
-                Answer::Noted
+                Answer::Acknowledged
             }
             (State::Open(_), bill, Some(_)) => {
                 let bill = bill.unwrap_or(Tokens::ZERO);
@@ -188,9 +188,9 @@
                 held.resolved.push(Resolved { id, budget, billed });
                 Answer::Closed { billed: true }
             }
-            (State::Settled(_), _, None) => Answer::Noted,
+            (State::Settled(_), _, None) => Answer::Acknowledged,
             (State::Settled(_), _, Some(_)) => Answer::Closed { billed: true },
-            (State::Taken(_), _, _) => Answer::Closed { billed: false },
+            (State::TakenOver(_), _, _) => Answer::Closed { billed: false },
         }
     }
 
@@ -199,7 +199,7 @@
         match self.replicas.get(&holder) {
             None if is_first(seq) => Replay::New,
             None => Replay::Stale,
-            Some(held) if seq == held.last.0 => Replay::Again(held.last.1.clone()),
+            Some(held) if seq == held.last.0 => Replay::Repeated(held.last.1.clone()),
             Some(held) if seq == held.last.0 + 1 => Replay::New,
             Some(held) if is_first(seq) && seq > held.last.0 => Replay::New,
             Some(_) => Replay::Stale,
@@ -207,7 +207,7 @@
     }
 
     /// Remembers what the call `seq` was answered.
-    pub fn answered(&mut self, holder: Incarnation, seq: u64, answers: &[Answer]) {
+    pub fn record_answers(&mut self, holder: Incarnation, seq: u64, answers: &[Answer]) {
         if let Some(held) = self.replicas.get_mut(&holder) {
             held.last = (seq, answers.to_vec());
         }
@@ -222,7 +222,7 @@
                 held.heard = now;
                 held.replica.epoch = held.replica.epoch.max(epoch);
                 held.replica.prune();
-                Answer::Noted
+                Answer::Acknowledged
             }
         }
     }
@@ -268,42 +268,42 @@
 
     /// Judges whether `by` may run a request of a lost holder; `repeatable` requests that were
     /// dispatched may be taken over, others may not.
-    pub fn take(&mut self, id: Id, by: Incarnation, repeatable: bool) -> Taken {
+    pub fn take_over(&mut self, id: Id, by: Incarnation, repeatable: bool) -> TakeoverAnswer {
         let Some(held) = self.replicas.get_mut(&id.incarnation) else {
-            return Taken::Unknown;
+            return TakeoverAnswer::Unknown;
         };
         if held.closed.is_none() {
-            return Taken::Alive;
+            return TakeoverAnswer::Alive;
         }
         let Some((budget, state)) = held.replica.entries.get_mut(&id.nonce) else {
             if id.epoch() + EPOCH_KEEP < held.replica.epoch {
-                return Taken::Expired;
+                return TakeoverAnswer::Expired;
             }
             let nowhere = BudgetKey { shard: 0, index: 0 };
             held.replica
                 .entries
-                .insert(id.nonce, (nowhere, State::Taken(by)));
-            return Taken::Fresh;
+                .insert(id.nonce, (nowhere, State::TakenOver(by)));
+            return TakeoverAnswer::Fresh;
         };
         match *state {
-            State::Taken(other) if other == by => Taken::Yours,
-            State::Taken(other) => Taken::Other(other),
-            State::Settled(billed) => Taken::Settled(billed),
+            State::TakenOver(other) if other == by => TakeoverAnswer::Yours,
+            State::TakenOver(other) => TakeoverAnswer::Other(other),
+            State::Settled(billed) => TakeoverAnswer::Settled(billed),
             State::Open(_) if repeatable => {
-                *state = State::Taken(by);
+                *state = State::TakenOver(by);
                 held.resolved.push(Resolved {
                     id,
                     budget: *budget,
                     billed: Tokens::ZERO,
                 });
-                Taken::Open
+                TakeoverAnswer::Open
             }
-            State::Open(_) => Taken::Open,
+            State::Open(_) => TakeoverAnswer::Open,
         }
     }
 
     /// Bills decided since a close that the log may not have yet.
-    pub fn unwritten(&self) -> Vec<Resolved> {
+    pub fn unrecorded(&self) -> Vec<Resolved> {
         let replicas = self.replicas.values();
         replicas
             .flat_map(|held| held.resolved.iter().copied())
@@ -311,14 +311,14 @@
     }
 
     /// The log has a bill.
-    pub fn written(&mut self, id: Id) {
+    pub fn mark_recorded(&mut self, id: Id) {
         if let Some(held) = self.replicas.get_mut(&id.incarnation) {
             held.resolved.retain(|resolved| resolved.id != id);
         }
     }
 
     /// Requests of closed holders that are still open: ask their targets.
-    pub fn doubtful(&self) -> Vec<Doubt> {
+    pub fn in_doubt(&self) -> Vec<Doubt> {
         let closed = self
             .replicas
             .iter()
@@ -333,13 +333,13 @@
                 budget,
                 reservation,
             }),
-            State::Settled(_) | State::Taken(_) => None,
+            State::Settled(_) | State::TakenOver(_) => None,
         });
         open.collect()
     }
 
     /// The target of a closed holder's request says that it is done, and what it used.
-    pub fn told(&mut self, id: Id, used: Tokens) {
+    pub fn record_outcome(&mut self, id: Id, used: Tokens) {
         let held = self.replicas.get(&id.incarnation);
         let Some(held) = held.filter(|held| held.closed.is_some()) else {
             return;
@@ -362,7 +362,7 @@
     }
 
     /// Whether a holder has named this router.
-    pub fn has(&self, holder: Incarnation) -> bool {
+    pub fn is_witness_of(&self, holder: Incarnation) -> bool {
         self.replicas.contains_key(&holder)
     }
 
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -6,7 +6,7 @@
 use super::job::{Job, Stage};
 use super::state::PendingCall;
 use super::{Action, Spec, State};
-use crate::router::budget::Taken;
+use crate::router::budget::TakeoverAnswer;
 use crate::router::intent::Kind;
 use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::router::message::Request;
@@ -270,10 +270,10 @@
             return;
         }
         let Some(address) = self.membership.address_of(witness) else {
-            self.handle_takeover_answer(ticket, Taken::Unknown);
+            self.handle_takeover_answer(ticket, TakeoverAnswer::Unknown);
             return;
         };
-        let request = Request::Take {
+        let request = Request::Takeover {
             to: witness,
             id,
             shard,
@@ -284,7 +284,7 @@
     }
 
     /// Handles the witness's answer to a takeover: admits the request, or refuses it.
-    pub(super) fn handle_takeover_answer(&mut self, ticket: Ticket, taken: Taken) {
+    pub(super) fn handle_takeover_answer(&mut self, ticket: Ticket, taken: TakeoverAnswer) {
         let is_pending = self.jobs.get(&ticket).map(|job| job.stage) == Some(Stage::TakingOver);
         if !is_pending {
             return;
--- a/src/router/control/decision/takeover.rs
+++ b/src/router/control/decision/takeover.rs
@@ -1,6 +1,6 @@
 //! Decides whether a request of a lost incarnation runs on this router, by what its witness answers.
 
-use crate::router::budget::Taken;
+use crate::router::budget::TakeoverAnswer;
 use crate::router::request::Reason;
 use crate::units::Tokens;
 
@@ -17,21 +17,23 @@
 ///
 /// # Errors
 /// The reason why it does not run here; it may have run elsewhere.
-pub fn decide(taken: Taken, is_repeatable: bool) -> Result<Terms, Reason> {
+pub fn decide(taken: TakeoverAnswer, is_repeatable: bool) -> Result<Terms, Reason> {
     let rerun = |paid| Terms {
         paid,
         may_have_run: true,
     };
     match taken {
-        Taken::Fresh => Ok(Terms {
+        TakeoverAnswer::Fresh => Ok(Terms {
             paid: None,
             may_have_run: false,
         }),
-        Taken::Yours => Ok(rerun(None)),
-        Taken::Open if is_repeatable => Ok(rerun(None)),
-        Taken::Settled(billed) if is_repeatable => Ok(rerun(Some(billed))),
-        Taken::Open | Taken::Settled(_) | Taken::Unknown => Err(Reason::Lost),
-        Taken::Other(_) | Taken::Alive => Err(Reason::Elsewhere),
-        Taken::Expired => Err(Reason::Expired),
+        TakeoverAnswer::Yours => Ok(rerun(None)),
+        TakeoverAnswer::Open if is_repeatable => Ok(rerun(None)),
+        TakeoverAnswer::Settled(billed) if is_repeatable => Ok(rerun(Some(billed))),
+        TakeoverAnswer::Open | TakeoverAnswer::Settled(_) | TakeoverAnswer::Unknown => {
+            Err(Reason::Lost)
+        }
+        TakeoverAnswer::Other(_) | TakeoverAnswer::Alive => Err(Reason::Elsewhere),
+        TakeoverAnswer::Expired => Err(Reason::Expired),
     }
 }
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -382,7 +382,7 @@
             self.refuse(ticket, Reason::WitnessUnavailable);
         }
         for ticket in undecided {
-            self.handle_takeover_answer(ticket, crate::router::budget::Taken::Unknown);
+            self.handle_takeover_answer(ticket, crate::router::budget::TakeoverAnswer::Unknown);
         }
         let settling = self
             .settling
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -5,7 +5,7 @@
 use super::decision::witness::{Ward, must_wait_for};
 use super::state::PendingCall;
 use super::{Action, Call, State};
-use crate::router::budget::{Answer, Doubt, Replay, Resolved, Taken, Witness};
+use crate::router::budget::{Answer, Doubt, Replay, Resolved, TakeoverAnswer, Witness};
 use crate::router::host::Peer;
 use crate::router::key::{BudgetKey, Incarnation, SHARDS, Stream};
 use crate::router::log::{Record, Writer};
@@ -99,20 +99,20 @@
                 Reply::Heartbeat { peers }
             }
             Request::Replicate { to, holder, .. } if !self.is_witness_of(to, holder) => Reply::Gone,
-            Request::Take { to, .. } if !self.witnesses.contains_key(&to) => Reply::Gone,
+            Request::Takeover { to, .. } if !self.witnesses.contains_key(&to) => Reply::Gone,
             Request::Replicate {
                 to,
                 holder,
                 seq,
                 notices,
             } => Reply::Replicate(self.answer_notices(to, holder, seq, notices)),
-            Request::Take {
+            Request::Takeover {
                 id,
                 shard,
                 by,
                 repeatable,
                 ..
-            } => Reply::Taken(self.take_over(id, shard, by, repeatable)),
+            } => Reply::Takeover(self.take_over(id, shard, by, repeatable)),
             Request::State { stream } if self.caught_up.contains(&stream) => {
                 Reply::State(self.snapshot(stream))
             }
@@ -160,11 +160,11 @@
             (PendingCall::Heartbeat, Some(Reply::Heartbeat { peers })) => self.record_peers(&peers),
             (PendingCall::Heartbeat, _) => {}
             (PendingCall::Ward(key), reply) => self.handle_witness_reply(key, call, reply),
-            (PendingCall::Takeover(ticket), Some(Reply::Taken(taken))) => {
+            (PendingCall::Takeover(ticket), Some(Reply::Takeover(taken))) => {
                 self.handle_takeover_answer(ticket, taken)
             }
             (PendingCall::Takeover(ticket), _) => {
-                self.handle_takeover_answer(ticket, Taken::Unknown)
+                self.handle_takeover_answer(ticket, TakeoverAnswer::Unknown)
             }
             (PendingCall::State(stream), Some(Reply::State(checkpoint))) => {
                 self.restore(stream, &checkpoint);
@@ -177,7 +177,7 @@
     /// incarnation it keeps the wards that it has and accepts no others.
     fn is_witness_of(&self, name: Incarnation, holder: Incarnation) -> bool {
         let witness = self.witnesses.get(&name);
-        name == self.incarnation() || witness.is_some_and(|witness| witness.has(holder))
+        name == self.incarnation() || witness.is_some_and(|witness| witness.is_witness_of(holder))
     }
 
     /// Applies a ward's notices and answers them. A repeated call gets the same answers again, an outdated one
@@ -194,14 +194,14 @@
             return Vec::new();
         };
         match witness.replay(holder, seq) {
-            Replay::Again(answers) => answers,
+            Replay::Repeated(answers) => answers,
             Replay::Stale => Vec::new(),
             Replay::New => {
                 let notices = notices.into_iter();
                 let answers: Vec<Answer> = notices
                     .map(|notice| apply_notice(witness, now, holder, notice))
                     .collect();
-                witness.answered(holder, seq, &answers);
+                witness.record_answers(holder, seq, &answers);
                 answers
             }
         }
@@ -215,20 +215,20 @@
         shard: u8,
         by: Incarnation,
         repeatable: bool,
-    ) -> Taken {
+    ) -> TakeoverAnswer {
         if shard >= SHARDS {
-            return Taken::Unknown;
+            return TakeoverAnswer::Unknown;
         }
         let member = self.ledger(shard).sequence().member(id.incarnation);
         if member.gone.is_none() {
-            return Taken::Alive;
+            return TakeoverAnswer::Alive;
         }
         let named = member.witness;
         let Some(witness) = named.and_then(|name| self.witnesses.get_mut(&name)) else {
-            return Taken::Unknown;
+            return TakeoverAnswer::Unknown;
         };
         witness.close(self.now, id.incarnation);
-        let taken = witness.take(id, by, repeatable);
+        let taken = witness.take_over(id, by, repeatable);
         self.write_closes();
         taken
     }
@@ -275,7 +275,7 @@
             return;
         }
         self.last_inquiry = self.now;
-        let doubts = self.witnesses.values().flat_map(Witness::doubtful);
+        let doubts = self.witnesses.values().flat_map(Witness::in_doubt);
         for doubt in doubts.take(INQUIRIES_PER_ROUND) {
             self.actions.push(Action::Inquire {
                 id: doubt.id,
@@ -288,7 +288,7 @@
     /// Records a target's report that a request of a closed ward is done.
     pub(super) fn record_target_outcome(&mut self, id: Id, used: Tokens) {
         for witness in self.witnesses.values_mut() {
-            witness.told(id, used);
+            witness.record_outcome(id, used);
         }
         self.write_closes();
     }
@@ -318,7 +318,7 @@
         let mut witnesses = self.witnesses.iter();
         let decides = |name| move |doubt: Doubt| self.decides_doubt(name, doubt.id, doubt.budget);
         wards.any(|ward| must_wait_for(&ward))
-            || witnesses.any(|(name, witness)| witness.doubtful().into_iter().any(decides(*name)))
+            || witnesses.any(|(name, witness)| witness.in_doubt().into_iter().any(decides(*name)))
     }
 
     /// Whether a request is in doubt and this process, as the witness `name`, decides its outcome.
@@ -370,7 +370,7 @@
                     }
                 }
             }
-            for resolved in self.witnesses[&name].unwritten() {
+            for resolved in self.witnesses[&name].unrecorded() {
                 self.write_resolve(name, resolved);
             }
         }
@@ -394,7 +394,7 @@
         let key = (id.incarnation, id.nonce);
         if !self.decides_doubt(name, id, budget) {
             if let Some(witness) = self.witnesses.get_mut(&name) {
-                witness.written(id);
+                witness.mark_recorded(id);
             }
             return;
         }
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::router::budget::{Answer, Replica, Reservation, Taken};
+use crate::router::budget::{Answer, Replica, Reservation, TakeoverAnswer};
 use crate::router::host::Peer;
 use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::router::log::Checkpoint;
@@ -58,7 +58,7 @@
         notices: Vec<Notice>,
     },
     /// May I run this request of a lost holder of yours?
-    Take {
+    Takeover {
         /// The process meant.
         to: Incarnation,
         /// The request.
@@ -88,7 +88,7 @@
     /// To a holder's asks, one each.
     Replicate(Vec<Answer>),
     /// To a takeover.
-    Taken(Taken),
+    Takeover(TakeoverAnswer),
     /// To a question for state.
     State(Checkpoint),
     /// The process meant is not here.
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -6,7 +6,7 @@
 
 use std::net::SocketAddr;
 
-use lanedeck::router::budget::{Answer, Ledger, Price, Replica, Reservation, Taken};
+use lanedeck::router::budget::{Answer, Ledger, Price, Replica, Reservation, TakeoverAnswer};
 use lanedeck::router::config::{Config, Intent, Proposal};
 use lanedeck::router::control::{Status, StatusBudget, StatusPeer};
 use lanedeck::router::host::Peer;
@@ -176,7 +176,7 @@
         "01fb2c01fd0807060504030201fd050000000100000004000103012802080301010c09030100fb8403fd0807060504030201fd0900000002000000000a010203fb282300fbdc050201090301fb8403fd0807060504030201fd0900000002000000000a010203fb282301020901210302",
         &request,
     );
-    let take = Request::Take {
+    let take = Request::Takeover {
         to: OTHER,
         id: ID,
         shard: 3,
@@ -204,24 +204,24 @@
         },
     );
     let answers = vec![
-        Answer::Noted,
+        Answer::Acknowledged,
         Answer::Closed { billed: true },
         Answer::Unknown,
     ];
     pin("010300010102", &Reply::Replicate(answers));
     let taken = [
-        Taken::Fresh,
-        Taken::Open,
-        Taken::Settled(Tokens(12)),
-        Taken::Yours,
-        Taken::Other(OTHER),
-        Taken::Alive,
-        Taken::Expired,
-        Taken::Unknown,
+        TakeoverAnswer::Fresh,
+        TakeoverAnswer::Open,
+        TakeoverAnswer::Settled(Tokens(12)),
+        TakeoverAnswer::Yours,
+        TakeoverAnswer::Other(OTHER),
+        TakeoverAnswer::Alive,
+        TakeoverAnswer::Expired,
+        TakeoverAnswer::Unknown,
     ];
     pin(
         "080200020102020c02030204fb2c01020502060207",
-        &taken.map(Reply::Taken).to_vec(),
+        &taken.map(Reply::Takeover).to_vec(),
     );
     let checkpoint = Checkpoint {
         through: Offset(40),
--- a/tests/witness_rules.rs
+++ b/tests/witness_rules.rs
@@ -1,6 +1,8 @@
 //! A witness by itself: what it acknowledges, and how it decides takeovers.
 
-use lanedeck::router::budget::{Answer, Price, Replay, Replica, Reservation, Taken, Witness};
+use lanedeck::router::budget::{
+    Answer, Price, Replay, Replica, Reservation, TakeoverAnswer, Witness,
+};
 use lanedeck::router::key::{BudgetKey, Incarnation};
 use lanedeck::router::request::Id;
 use lanedeck::units::{Millis, Tokens};
@@ -38,14 +40,17 @@
         "not a ward of this witness"
     );
     let replica = Replica::new(&[], &[], &[], 1);
-    assert_eq!(witness.adopt(Millis(1), HOLDER, replica), Answer::Noted);
+    assert_eq!(
+        witness.adopt(Millis(1), HOLDER, replica),
+        Answer::Acknowledged
+    );
     witness
 }
 
 #[test]
 fn nothing_after_close() {
     let mut witness = witness();
-    assert_eq!(open(&mut witness, 1), Answer::Noted);
+    assert_eq!(open(&mut witness, 1), Answer::Acknowledged);
     assert_eq!(witness.silent(Millis(2_000), Millis(1_000)), [HOLDER]);
     witness.close(Millis(2_000), HOLDER);
     assert_eq!(open(&mut witness, 2), Answer::Closed { billed: false });
@@ -65,7 +70,7 @@
     // A bill that arrives after the close still counts, once, and goes to the log.
     assert_eq!(settle(&mut witness, 1, 40), Answer::Closed { billed: true });
     assert_eq!(settle(&mut witness, 1, 40), Answer::Closed { billed: true });
-    assert_eq!(witness.unwritten().len(), 1);
+    assert_eq!(witness.unrecorded().len(), 1);
     // The report stays what it was at the close.
     assert_eq!(witness.report(HOLDER, 4)[0].open.len(), 1);
 }
@@ -78,26 +83,41 @@
     }
     settle(&mut witness, 2, 30);
     let successor = Incarnation(7);
-    assert_eq!(witness.take(id(1), successor, true), Taken::Alive);
+    assert_eq!(
+        witness.take_over(id(1), successor, true),
+        TakeoverAnswer::Alive
+    );
     witness.close(Millis(2), HOLDER);
     assert_eq!(
-        witness.take(id(9), successor, false),
-        Taken::Fresh,
+        witness.take_over(id(9), successor, false),
+        TakeoverAnswer::Fresh,
         "never opened, so never dispatched"
     );
-    assert_eq!(witness.take(id(9), successor, false), Taken::Yours);
-    assert_eq!(witness.take(id(9), OTHER, true), Taken::Other(successor));
     assert_eq!(
-        witness.take(id(2), successor, true),
-        Taken::Settled(Tokens(30))
+        witness.take_over(id(9), successor, false),
+        TakeoverAnswer::Yours
+    );
+    assert_eq!(
+        witness.take_over(id(9), OTHER, true),
+        TakeoverAnswer::Other(successor)
     );
     assert_eq!(
-        witness.take(id(3), successor, false),
-        Taken::Open,
+        witness.take_over(id(2), successor, true),
+        TakeoverAnswer::Settled(Tokens(30))
+    );
+    assert_eq!(
+        witness.take_over(id(3), successor, false),
+        TakeoverAnswer::Open,
         "not repeatable, so left to the lost holder"
     );
-    assert_eq!(witness.take(id(1), successor, true), Taken::Open);
-    assert_eq!(witness.take(id(1), OTHER, true), Taken::Other(successor));
+    assert_eq!(
+        witness.take_over(id(1), successor, true),
+        TakeoverAnswer::Open
+    );
+    assert_eq!(
+        witness.take_over(id(1), OTHER, true),
+        TakeoverAnswer::Other(successor)
+    );
     // A bill from the closed holder does not count for a request that was taken over.
     assert_eq!(
         settle(&mut witness, 1, 50),
@@ -109,20 +129,20 @@
 fn reported_by_target() {
     let mut witness = witness();
     open(&mut witness, 1);
-    witness.told(id(1), Tokens(10));
+    witness.record_outcome(id(1), Tokens(10));
     assert!(
-        witness.unwritten().is_empty(),
+        witness.unrecorded().is_empty(),
         "a holder that is not closed bills its own requests"
     );
     witness.close(Millis(2), HOLDER);
-    assert_eq!(witness.doubtful().len(), 1);
-    witness.told(id(1), Tokens(10));
+    assert_eq!(witness.in_doubt().len(), 1);
+    witness.record_outcome(id(1), Tokens(10));
     assert_eq!(
-        witness.unwritten()[0].billed,
+        witness.unrecorded()[0].billed,
         Tokens(20),
         "10 tokens at a price factor of two"
     );
-    assert!(witness.doubtful().is_empty());
+    assert!(witness.in_doubt().is_empty());
 }
 
 #[test]
@@ -130,16 +150,16 @@
     let mut witness = witness();
     let first = 1 << 32 | 1;
     assert_eq!(witness.replay(HOLDER, first), Replay::New);
-    witness.answered(HOLDER, first, &[Answer::Noted]);
+    witness.record_answers(HOLDER, first, &[Answer::Acknowledged]);
     assert_eq!(
         witness.replay(HOLDER, first),
-        Replay::Again(vec![Answer::Noted])
+        Replay::Repeated(vec![Answer::Acknowledged])
     );
     assert_eq!(witness.replay(HOLDER, first + 1), Replay::New);
     assert_eq!(witness.replay(HOLDER, first + 2), Replay::Stale, "a gap");
     // A new link of the same holder restarts the numbers; a delayed call of the old link is ignored.
     let second = 2 << 32 | 1;
     assert_eq!(witness.replay(HOLDER, second), Replay::New);
-    witness.answered(HOLDER, second, &[]);
+    witness.record_answers(HOLDER, second, &[]);
     assert_eq!(witness.replay(HOLDER, first + 1), Replay::Stale);
 }
