--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -154,7 +154,7 @@
         let objective = self.shared.config.load().objective(&about.class);
         let sample = answer.watch.sample();
         self.shared.metrics.note(&key, objective, &verdict, sample);
-        let reason = verdict.reason().map_or("none", |reason| reason.word());
+        let reason = verdict.reason().map_or("none", |reason| reason.as_str());
         let billed = match verdict {
             Verdict::Ran { billed } => billed.0,
             _ => 0,
@@ -165,7 +165,7 @@
             customer = about.customer,
             class = about.class,
             serves = about.serves,
-            verdict = verdict.word(),
+            verdict = verdict.as_str(),
             reason,
             billed,
             first_ms = sample.first_ms,
@@ -173,7 +173,7 @@
         );
         self.shared.trail.note(
             about.id,
-            format!("verdict {}: {reason}, billed {billed}", verdict.word()),
+            format!("verdict {}: {reason}, billed {billed}", verdict.as_str()),
         );
         answer.end(verdict);
         // What did not run may come again as new; its answer is not kept.
--- a/src/router/http/reply.rs
+++ b/src/router/http/reply.rs
@@ -91,7 +91,8 @@
 }
 
 fn unavailable(reason: Reason, message: &str, retry: Millis) -> Response {
-    let mut response = Wrong::new(StatusCode::SERVICE_UNAVAILABLE, reason.word(), message).reply();
+    let mut response =
+        Wrong::new(StatusCode::SERVICE_UNAVAILABLE, reason.as_str(), message).reply();
     set_retry_after(response.headers_mut(), retry);
     response
 }
@@ -100,7 +101,7 @@
 pub fn refused(id: Id, verdict: &Verdict, serves: &str) -> Response {
     let reason = verdict.reason().unwrap_or(Reason::Unknown);
     let body = json!({
-        "error": { "type": reason.word(), "message": message(verdict, reason, serves) },
+        "error": { "type": reason.as_str(), "message": message(verdict, reason, serves) },
         "lanedeck": told(id, verdict),
     });
     let mut response = json(status(verdict, reason), &body);
@@ -110,7 +111,7 @@
 
 /// What the last event of a stream, or the body of a reply, says of the verdict.
 pub fn told(id: Id, verdict: &Verdict) -> Value {
-    let mut told = json!({ "verdict": verdict.word(), "request_id": id.to_string() });
+    let mut told = json!({ "verdict": verdict.as_str(), "request_id": id.to_string() });
     match verdict {
         Verdict::Ran { billed } => told["billed"] = json!(billed),
         Verdict::NotRun {
@@ -128,9 +129,9 @@
 /// Sets the headers that tell the verdict.
 pub fn head(headers: &mut HeaderMap, id: Id, verdict: &Verdict) {
     set(headers, REQUEST_ID, &id.to_string());
-    set(headers, VERDICT, verdict.word());
+    set(headers, VERDICT, verdict.as_str());
     if let Some(reason) = verdict.reason() {
-        set(headers, REASON, reason.word());
+        set(headers, REASON, reason.as_str());
     }
     match verdict {
         Verdict::Ran { billed } => set(headers, BILLED, &billed.to_string()),
--- a/src/router/report/metrics.rs
+++ b/src/router/report/metrics.rs
@@ -172,7 +172,7 @@
                 live.billed += billed.0;
             }
             Verdict::NotRun { reason, .. } | Verdict::MayHaveRun { reason } => {
-                *live.refused.entry(reason.word().to_owned()).or_default() += 1;
+                *live.refused.entry(reason.as_str().to_owned()).or_default() += 1;
             }
         }
         if let Some(good) = is_good(objective, verdict, sample) {
--- a/src/router/request/verdict.rs
+++ b/src/router/request/verdict.rs
@@ -52,7 +52,7 @@
 
 impl Reason {
     /// The word used on the wire and in logs.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::BudgetExhausted => "budget_exhausted",
             Self::BudgetElsewhere => "budget_elsewhere",
@@ -79,7 +79,7 @@
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.word())
+        f.write_str(self.as_str())
     }
 }
 
@@ -108,7 +108,7 @@
 
 impl Verdict {
     /// The word used on the wire and in logs.
-    pub fn word(&self) -> &'static str {
+    pub fn as_str(&self) -> &'static str {
         match self {
             Self::Ran { .. } => "ran",
             Self::NotRun { .. } => "not_run",
--- a/tests/common/world/callers.rs
+++ b/tests/common/world/callers.rs
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn finish(&mut self, node: usize, life: u64, ticket: Ticket, verdict: Verdict) {
-        *self.verdicts.entry(verdict.word()).or_default() += 1;
+        *self.verdicts.entry(verdict.as_str()).or_default() += 1;
         let caller = self.tickets.get(&(node, life, ticket)).copied();
         self.trace(|| {
             let id = caller.map(|caller| self.callers[caller].id.to_string());
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -578,7 +578,7 @@
         Reason::Unknown,
         Reason::UnknownModel,
     ];
-    let words: Vec<&str> = reasons.iter().map(|reason| reason.word()).collect();
+    let words: Vec<&str> = reasons.iter().map(|reason| reason.as_str()).collect();
     assert_eq!(
         words.join(" "),
         "budget_exhausted budget_elsewhere log_unavailable witness_unavailable overloaded too_late too_many no_target starting stopping suspended target_refused target_failed elsewhere expired lost id_reused unknown unknown_model"
