--- a/src/router/config/mod.rs
+++ b/src/router/config/mod.rs
@@ -5,4 +5,4 @@
 mod planning;
 
 pub use fold::{Config, Item};
-pub use planning::{Error, Intent, Proposal, World, plan};
+pub use planning::{Error, Intent, Proposal, Snapshot, plan};
--- a/src/router/config/planning.rs
+++ b/src/router/config/planning.rs
@@ -96,14 +96,14 @@
 }
 
 /// What a plan is made against.
-pub struct World<'a> {
+pub struct Snapshot<'a> {
     /// The configuration in force.
     pub config: &'a Config,
     /// The ledgers, in order of shard.
     pub ledgers: Vec<&'a Ledger>,
 }
 
-impl World<'_> {
+impl Snapshot<'_> {
     fn budget(&self, name: &str) -> Option<(BudgetKey, &Budget)> {
         let mut shards = (0..).zip(&self.ledgers);
         shards.find_map(|(shard, ledger)| {
@@ -117,36 +117,36 @@
 ///
 /// # Errors
 /// A field out of range, or something named that is not there.
-pub fn plan(world: &World<'_>, id: PlanId, intent: &Intent) -> Result<Proposal, Error> {
+pub fn plan(snapshot: &Snapshot<'_>, id: PlanId, intent: &Intent) -> Result<Proposal, Error> {
     match intent {
-        Intent::Put { key, object } => put(world, id, key, object.clone()),
-        Intent::Delete { key } => delete(world, id, key),
+        Intent::Put { key, object } => put(snapshot, id, key, object.clone()),
+        Intent::Delete { key } => delete(snapshot, id, key),
         Intent::Budget {
             name,
             customer,
             prepaid,
-        } => budget(world, id, name, customer, *prepaid),
-        Intent::Drain { target, draining } => drain(world, id, target, *draining),
+        } => budget(snapshot, id, name, customer, *prepaid),
+        Intent::Drain { target, draining } => drain(snapshot, id, target, *draining),
         Intent::Priority {
             class,
             rank,
             price_permille,
-        } => priority(world, id, class, *rank, *price_permille),
+        } => priority(snapshot, id, class, *rank, *price_permille),
         Intent::Release {
             budget,
             holder,
             billed,
-        } => release(world, id, budget, holder, *billed),
+        } => release(snapshot, id, budget, holder, *billed),
     }
 }
 
-fn put(world: &World<'_>, id: PlanId, key: &Key, object: Object) -> Result<Proposal, Error> {
+fn put(snapshot: &Snapshot<'_>, id: PlanId, key: &Key, object: Object) -> Result<Proposal, Error> {
     check_name("key", key.name())?;
     if !key.fits(&object) {
         return field("object", "must be of the key's kind");
     }
-    check_object(world, &object)?;
-    let old = world.config.item(key);
+    check_object(snapshot, &object)?;
+    let old = snapshot.config.item(key);
     let expect = old.map_or(Offset::ZERO, |item| item.version);
     let what = match old {
         Some(_) => format!("{key} changes, planned against version {expect}"),
@@ -161,7 +161,7 @@
     Ok(proposal(id, Stream::Config, change, vec![what]))
 }
 
-fn check_object(world: &World<'_>, object: &Object) -> Result<(), Error> {
+fn check_object(snapshot: &Snapshot<'_>, object: &Object) -> Result<(), Error> {
     match object {
         Object::Customer(customer) => {
             let hex = customer.key_hash.bytes().all(|b| b.is_ascii_hexdigit());
@@ -174,7 +174,7 @@
             if customer.concurrency == 0 {
                 return field("concurrency", "1 or more");
             }
-            let unknown = |name: &&String| world.config.class(name).is_none();
+            let unknown = |name: &&String| snapshot.config.class(name).is_none();
             match customer.classes.iter().find(unknown) {
                 Some(name) => missing("class", name),
                 None => Ok(()),
@@ -211,8 +211,8 @@
     Ok(())
 }
 
-fn delete(world: &World<'_>, id: PlanId, key: &Key) -> Result<Proposal, Error> {
-    let Some(item) = world.config.item(key) else {
+fn delete(snapshot: &Snapshot<'_>, id: PlanId, key: &Key) -> Result<Proposal, Error> {
+    let Some(item) = snapshot.config.item(key) else {
         return missing("object", &key.to_string());
     };
     let expect = item.version;
@@ -223,7 +223,7 @@
 }
 
 fn budget(
-    world: &World<'_>,
+    snapshot: &Snapshot<'_>,
     id: PlanId,
     name: &str,
     customer: &str,
@@ -233,10 +233,10 @@
     if prepaid > PREPAID_MAX {
         return field("prepaid", &format!("0 to {PREPAID_MAX} tokens"));
     }
-    if world.config.customer(customer).is_none() {
+    if snapshot.config.customer(customer).is_none() {
         return missing("customer", customer);
     }
-    let old = world.budget(name);
+    let old = snapshot.budget(name);
     if old.is_some_and(|(_, budget)| budget.terms.customer != customer) {
         return field("name", "a budget of another customer has this name");
     }
@@ -272,26 +272,31 @@
     )
 }
 
-fn drain(world: &World<'_>, id: PlanId, name: &str, draining: bool) -> Result<Proposal, Error> {
+fn drain(
+    snapshot: &Snapshot<'_>,
+    id: PlanId,
+    name: &str,
+    draining: bool,
+) -> Result<Proposal, Error> {
     let key = Key::Target(name.to_owned());
-    let Some(Object::Target(target)) = world.config.item(&key).map(|item| &item.object) else {
+    let Some(Object::Target(target)) = snapshot.config.item(&key).map(|item| &item.object) else {
         return missing("target", name);
     };
     let target = Target {
         draining,
         ..target.clone()
     };
-    put(world, id, &key, Object::Target(target))
+    put(snapshot, id, &key, Object::Target(target))
 }
 
 fn priority(
-    world: &World<'_>,
+    snapshot: &Snapshot<'_>,
     id: PlanId,
     name: &str,
     rank: u8,
     price_permille: u32,
 ) -> Result<Proposal, Error> {
-    let Some(class) = world.config.class(name) else {
+    let Some(class) = snapshot.config.class(name) else {
         return missing("class", name);
     };
     let class = Class {
@@ -300,7 +305,7 @@
         ..class.clone()
     };
     put(
-        world,
+        snapshot,
         id,
         &Key::Class(name.to_owned()),
         Object::Class(class),
@@ -308,13 +313,13 @@
 }
 
 fn release(
-    world: &World<'_>,
+    snapshot: &Snapshot<'_>,
     id: PlanId,
     name: &str,
     holder: &str,
     billed: Tokens,
 ) -> Result<Proposal, Error> {
-    let Some((key, budget)) = world.budget(name) else {
+    let Some((key, budget)) = snapshot.budget(name) else {
         return missing("budget", name);
     };
     let Ok(holder) = holder.parse::<Incarnation>() else {
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -6,7 +6,7 @@
 use super::state::PendingConfirm;
 use super::{Action, State, Status, StatusPeer};
 use crate::router::budget::{Budget, Witness};
-use crate::router::config::{Intent, World, plan};
+use crate::router::config::{Intent, Snapshot, plan};
 use crate::router::intent::{Outcome, Plan, Refused};
 use crate::router::key::{BudgetKey, SHARDS, Stream};
 use crate::router::log::Record;
@@ -23,11 +23,11 @@
     /// Answers an operator's intent with a plan.
     pub(super) fn plan_intent(&mut self, token: ReplyToken, intent: &Intent) {
         let id = self.rng.random();
-        let world = World {
+        let snapshot = Snapshot {
             config: self.config.state(),
             ledgers: self.ledgers.iter().map(|ledger| ledger.state()).collect(),
         };
-        let result = plan(&world, id, intent);
+        let result = plan(&snapshot, id, intent);
         self.actions.push(Action::Planned { token, result });
     }
 
