--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -99,7 +99,7 @@
     fn refuse_too_late(&mut self, group: &(Kind, String)) {
         let rate = self.pool.rate(self.now, group.0, &group.1);
         if let Some(queue) = self.queues.get_mut(group) {
-            for late in queue.hopeless(self.now, rate) {
+            for late in queue.remove_late(self.now, rate) {
                 self.refuse(late.ticket, Reason::TooLate);
             }
         }
--- a/src/router/request/queue.rs
+++ b/src/router/request/queue.rs
@@ -93,7 +93,7 @@
 
     /// Requests that will not start in time, were `per_second` to start from here on; they are
     /// told now, and not when their patience is over.
-    pub fn hopeless(&mut self, now: Millis, per_second: f64) -> Vec<Waiting> {
+    pub fn remove_late(&mut self, now: Millis, per_second: f64) -> Vec<Waiting> {
         let mut ahead = 0.0;
         let mut gone = Vec::new();
         for waiting in self.waiting.values() {
--- a/tests/queue_order.rs
+++ b/tests/queue_order.rs
@@ -66,11 +66,11 @@
         queue.push(waiting(ticket, 0, 0));
     }
     // At ten a second, fifty can start within the patience of five seconds, and one more just as it ends.
-    let refused = queue.hopeless(Millis(0), 10.0);
+    let refused = queue.remove_late(Millis(0), 10.0);
     assert_eq!(refused.len(), 49);
     assert_eq!(refused[0].ticket, Ticket(51));
-    assert!(queue.hopeless(Millis(0), 10.0).is_empty());
+    assert!(queue.remove_late(Millis(0), 10.0).is_empty());
     // No request waits longer than its patience.
-    assert_eq!(queue.hopeless(Millis(5_001), 1e9).len(), 51);
+    assert_eq!(queue.remove_late(Millis(5_001), 1e9).len(), 51);
     assert!(queue.is_empty());
 }
