--- a/src/router/budget/account.rs
+++ b/src/router/budget/account.rs
@@ -104,7 +104,7 @@
     }
 
     /// All that is in doubt.
-    pub fn doubted(&self) -> Tokens {
+    pub fn in_doubt(&self) -> Tokens {
         self.doubt.values().copied().sum()
     }
 
@@ -165,7 +165,7 @@
 
     /// Whether the parts add up to what was prepaid.
     pub(super) fn check(&self) -> Result<(), Violation> {
-        let parts = self.unallotted + self.held() + self.billed() + self.doubted();
+        let parts = self.unallotted + self.held() + self.billed() + self.in_doubt();
         if parts == self.prepaid {
             return Ok(());
         }
--- a/src/router/budget/demand.rs
+++ b/src/router/budget/demand.rs
@@ -16,7 +16,7 @@
 
 impl Demand {
     /// Notes that `amount` was reserved at `now`.
-    pub fn note(&mut self, now: Millis, amount: Tokens) {
+    pub fn record(&mut self, now: Millis, amount: Tokens) {
         self.per_second = self.rate(now) + amount.0 as f64 * 1_000.0 / MEMORY.0 as f64;
         self.at = now;
     }
--- a/src/router/budget/holder.rs
+++ b/src/router/budget/holder.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whose accounts these are.
-    pub fn me(&self) -> Incarnation {
+    pub fn incarnation(&self) -> Incarnation {
         self.me
     }
 
@@ -90,7 +90,7 @@
             .entry(key)
             .or_default()
             .demand
-            .note(now, amount);
+            .record(now, amount);
     }
 
     /// Gives a reservation up; the request did not run.
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -94,7 +94,7 @@
 
     fn confirm(&mut self, offset: Offset, plan: &Plan) -> Result<(), Violation> {
         let judged = self.judge(plan);
-        if !self.outcomes.take(plan.id, offset, judged) {
+        if !self.outcomes.record(plan.id, offset, judged) {
             return Ok(());
         }
         let mut result = Ok(());
--- a/src/router/config/fold.rs
+++ b/src/router/config/fold.rs
@@ -110,7 +110,7 @@
 
     fn confirm(&mut self, offset: Offset, plan: &Plan) {
         let judged = self.judge(plan);
-        if !self.outcomes.take(plan.id, offset, judged) {
+        if !self.outcomes.record(plan.id, offset, judged) {
             return;
         }
         for change in &plan.changes {
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -237,7 +237,7 @@
         let history = History {
             failure,
             attempts: job.attempt,
-            is_own: job.holder == self.holder.me(),
+            is_own: job.holder == self.holder.incarnation(),
         };
         if !retry::may_retry(&history, &self.retry_budget) {
             return false;
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -187,7 +187,7 @@
         unallotted: budget.unallotted,
         held: budget.held(),
         billed: budget.billed(),
-        in_doubt: budget.doubted(),
+        in_doubt: budget.in_doubt(),
         holders: holders
             .map(|(holder, grant)| (holder.to_string(), grant.held()))
             .collect(),
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -299,7 +299,7 @@
 
     /// The current incarnation of this process.
     pub fn incarnation(&self) -> Incarnation {
-        self.holder.me()
+        self.holder.incarnation()
     }
 
     /// The prefix from which callers make request ids.
--- a/src/router/intent/plan.rs
+++ b/src/router/intent/plan.rs
@@ -103,7 +103,7 @@
 
     /// Takes a confirmed plan at an offset, as it was judged; whether its changes are to be made. A
     /// plan that is known counts once.
-    pub fn take(&mut self, id: PlanId, offset: Offset, judged: Result<(), Refused>) -> bool {
+    pub fn record(&mut self, id: PlanId, offset: Offset, judged: Result<(), Refused>) -> bool {
         if self.by_plan.contains_key(&id) {
             return false;
         }
@@ -111,12 +111,12 @@
             Ok(()) => Outcome::InForce(offset),
             Err(refused) => Outcome::Refused(refused),
         };
-        self.note(id, outcome);
+        self.insert(id, outcome);
         judged.is_ok()
     }
 
     /// Notes an outcome; the oldest is forgotten.
-    fn note(&mut self, id: PlanId, outcome: Outcome) {
+    fn insert(&mut self, id: PlanId, outcome: Outcome) {
         self.by_plan.insert(id, outcome);
         self.order.push_back(id);
         if self.order.len() > OUTCOMES_MAX
--- a/tests/common/world/callers.rs
+++ b/tests/common/world/callers.rs
@@ -133,7 +133,7 @@
             .iter()
             .filter(|(holder, _)| !live.contains(holder));
         let lost: u64 = dead.map(|(_, grant)| grant.held().0).sum();
-        let (billed, doubt) = (budget.billed().0, budget.doubted().0);
+        let (billed, doubt) = (budget.billed().0, budget.in_doubt().0);
         assert!(billed + doubt <= PREPAID);
         assert!(billed <= ran, "{name}: billed {billed}, ran {ran}");
         assert!(
--- a/tests/ledger_sums.rs
+++ b/tests/ledger_sums.rs
@@ -50,7 +50,7 @@
         budget.unallotted.0,
         budget.held().0,
         budget.billed().0,
-        budget.doubted().0,
+        budget.in_doubt().0,
     ]
 }
 
--- a/tests/witness_change.rs
+++ b/tests/witness_change.rs
@@ -37,7 +37,7 @@
 fn unsettled(world: &World, gone: Incarnation, billed: Tokens, case: &str) -> Option<String> {
     let budget = world.budget(HOLDER + 1, 0);
     let held = budget.grants.get(&gone).map(|grant| grant.held());
-    let doubted = budget.doubted();
+    let doubted = budget.in_doubt();
     let is_settled = held.is_none() && doubted == Tokens::ZERO && budget.billed() == billed;
     let billed = budget.billed();
     (!is_settled).then(|| format!("{case}: held {held:?}, in doubt {doubted}, billed {billed}"))
