--- a/src/router/budget/account.rs
+++ b/src/router/budget/account.rs
@@ -1,6 +1,6 @@
-//! One prepaid budget, and what each holder has of it.
+//! One prepaid budget and the grants of its holders.
 //!
-//! At each offset: unallotted + held + settled + in doubt = prepaid.
+//! Invariant at each offset: unallotted + held + settled + in doubt = prepaid.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,68 +12,72 @@
 use crate::router::request::Id;
 use crate::units::{Offset, Tokens};
 
-/// Most tokens that a budget may be given, so that sums cannot overflow.
+/// Maximum size of a budget; it keeps sums from overflowing.
 pub const PREPAID_MAX: Tokens = Tokens(1 << 52);
-/// Most requests of closed holders that a budget remembers as billed.
+/// Maximum number of billed requests of closed holders that a budget remembers, to detect a second bill.
 const RESOLVED_MAX: usize = 4096;
 
-/// What one incarnation holds of a budget. All three are running totals.
+/// The share of one incarnation in a budget. All fields are running totals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Tokens handed to it.
+    /// Tokens granted to it.
     pub granted: Tokens,
     /// Tokens that it has billed.
     pub settled: Tokens,
-    /// Tokens that it has given back.
+    /// Tokens that it has returned.
     pub returned: Tokens,
 }
 
 impl Grant {
-    /// What it still may spend.
+    /// Tokens that it may still spend.
     pub fn held(&self) -> Tokens {
         self.granted
             .saturating_sub(self.settled)
             .saturating_sub(self.returned)
     }
 
-    /// Takes a new total of what is billed; `None` where it does not fit.
+    /// Sets the total of billed tokens; nothing comes back to the budget. `None` if the total decreases or, with the
+    /// returned tokens, exceeds the grant.
     pub(super) fn settle(&mut self, total: Tokens) -> Option<Tokens> {
         let fits = total >= self.settled && total + self.returned <= self.granted;
         self.settled = fits.then_some(total)?;
         Some(Tokens::ZERO)
     }
 
-    /// Takes a new total of what is given back; the difference, or `None` where it does not fit.
+    /// Sets the total of returned tokens and returns the increase; `None` if the total decreases or, with the settled
+    /// tokens, exceeds the grant.
     pub(super) fn give_back(&mut self, total: Tokens) -> Option<Tokens> {
         let fits = total >= self.returned && total + self.settled <= self.granted;
-        let more = fits.then(|| total - self.returned)?;
+        let increase = fits.then(|| total - self.returned)?;
         self.returned = total;
-        Some(more)
+        Some(increase)
     }
 }
 
 /// A prepaid budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Budget {
-    /// Its name, unique within the fleet.
+    /// Name, unique within the fleet.
     pub name: String,
-    /// Customer, class and the like, as the operator confirmed them.
+    /// The terms that the operator confirmed: customer and prepaid tokens.
     pub terms: Terms,
     /// Offset of the last confirmed change.
     pub version: Offset,
-    /// What may be spent in all; above `terms.prepaid` only while a cut waits for returns.
+    /// Tokens that may be spent in total; greater than `terms.prepaid` only while a reduction waits for holders to
+    /// return tokens.
     pub prepaid: Tokens,
-    /// Not handed to anybody.
+    /// Tokens that are not granted to any holder.
     pub unallotted: Tokens,
-    /// Billed by holders that are gone.
+    /// Tokens billed by holders that have left or were closed.
     pub settled: Tokens,
-    /// Holders.
+    /// Grants by holder.
     pub grants: BTreeMap<Incarnation, Grant>,
-    /// Requests of closed holders whose outcome nobody has told; counted as spent.
+    /// Reserved tokens of closed holders' requests with an unknown outcome; they count as spent.
     pub doubt: BTreeMap<(Incarnation, u64), Tokens>,
-    /// Where somebody last got less than it asked for; holders then return what lies idle.
+    /// Offset at which a grant was last smaller than asked for, or a reduction of the budget had to wait for returns;
+    /// holders then return idle tokens.
     pub scarce: Option<Offset>,
-    /// Requests of closed holders that were billed, with their bills.
+    /// Requests of closed holders that were in doubt and are billed now, with their bills.
     resolved: VecDeque<(Incarnation, u64, Tokens)>,
 }
 
@@ -93,48 +97,48 @@
         }
     }
 
-    /// All that was billed, by present and past holders.
+    /// Tokens billed by present and past holders.
     pub fn billed(&self) -> Tokens {
         self.settled + self.grants.values().map(|grant| grant.settled).sum()
     }
 
-    /// All that holders may still spend.
+    /// Tokens that holders may still spend.
     pub fn held(&self) -> Tokens {
         self.grants.values().map(Grant::held).sum()
     }
 
-    /// All that is in doubt.
+    /// Tokens reserved by requests in doubt.
     pub fn in_doubt(&self) -> Tokens {
         self.doubt.values().copied().sum()
     }
 
     pub(super) fn take_back(&mut self, amount: Tokens) {
         self.unallotted += amount;
-        self.cut();
+        self.apply_reduction();
     }
 
-    /// Takes what a smaller budget still has to lose out of the unallotted part.
-    fn cut(&mut self) {
-        let over = self.prepaid.saturating_sub(self.terms.prepaid);
-        let now = over.min(self.unallotted);
-        self.unallotted -= now;
-        self.prepaid -= now;
+    /// Applies the outstanding part of a reduction of the budget, as far as the unallotted tokens allow.
+    fn apply_reduction(&mut self) {
+        let excess = self.prepaid.saturating_sub(self.terms.prepaid);
+        let reduction = excess.min(self.unallotted);
+        self.unallotted -= reduction;
+        self.prepaid -= reduction;
     }
 
     pub(super) fn set_terms(&mut self, terms: &Terms, version: Offset) {
-        let more = terms.prepaid.saturating_sub(self.prepaid);
-        self.prepaid += more;
-        self.unallotted += more;
+        let increase = terms.prepaid.saturating_sub(self.prepaid);
+        self.prepaid += increase;
+        self.unallotted += increase;
         self.terms = terms.clone();
         self.version = version;
-        self.cut();
+        self.apply_reduction();
         if self.prepaid > self.terms.prepaid {
             self.scarce = Some(version);
         }
     }
 
-    /// Bills a request that was in doubt; `None` where it is not this budget's. The same bill again
-    /// changes nothing.
+    /// Bills a request that was in doubt; `None` if this budget does not know it. Repeating the same bill has no
+    /// effect.
     pub(super) fn resolve(
         &mut self,
         holder: Incarnation,
@@ -163,7 +167,7 @@
         Some(Ok(()))
     }
 
-    /// Whether the parts add up to what was prepaid.
+    /// Checks the invariant: the parts add up to the prepaid tokens.
     pub(super) fn check(&self) -> Result<(), Violation> {
         let parts = self.unallotted + self.held() + self.billed() + self.in_doubt();
         if parts == self.prepaid {
--- a/src/router/budget/holder.rs
+++ b/src/router/budget/holder.rs
@@ -1,8 +1,8 @@
-//! What one router incarnation may spend, and does.
+//! The spending accounts of one router incarnation.
 //!
-//! For each budget: granted (read from the ledger) - returned - settled - reserved = free. A
-//! reservation is the most that a request can cost, so what is settled never passes what was
-//! granted, however the fold lags.
+//! For each budget: granted (read from the ledger) - returned - settled - reserved = free. A reservation covers the
+//! maximum cost of a request, so the settled tokens never exceed the granted ones, however far the ledger lags behind
+//! the log.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +12,11 @@
 use crate::router::request::Id;
 use crate::units::{Millis, Tokens};
 
-/// A reservation failed; the holder lacks this much.
+/// A reservation failed for lack of this many free tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Shortage(pub Tokens);
 
-/// A request's place in its holder's accounts.
+/// A request in its holder's accounts, with its reserved or billed tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Entry {
     Open(Tokens),
@@ -46,27 +46,27 @@
 /// The accounts of one incarnation.
 #[derive(Clone, Debug)]
 pub struct Holder {
-    me: Incarnation,
+    incarnation: Incarnation,
     sizing: Sizing,
     accounts: BTreeMap<BudgetKey, Account>,
 }
 
 impl Holder {
-    /// Empty accounts.
-    pub fn new(me: Incarnation, sizing: Sizing) -> Self {
+    /// Creates empty accounts.
+    pub fn new(incarnation: Incarnation, sizing: Sizing) -> Self {
         Self {
-            me,
+            incarnation,
             sizing,
             accounts: BTreeMap::new(),
         }
     }
 
-    /// Whose accounts these are.
+    /// The incarnation that the accounts belong to.
     pub fn incarnation(&self) -> Incarnation {
-        self.me
+        self.incarnation
     }
 
-    /// Reserves the most that a request can cost.
+    /// Reserves the maximum cost of a request.
     pub fn reserve(
         &mut self,
         key: BudgetKey,
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Notes what callers ask for, whether or not it can be reserved.
+    /// Records the demand of callers, whether or not it can be reserved.
     pub fn note_demand(&mut self, now: Millis, key: BudgetKey, amount: Tokens) {
         self.accounts
             .entry(key)
@@ -93,7 +93,7 @@
             .record(now, amount);
     }
 
-    /// Gives a reservation up; the request did not run.
+    /// Releases the reservation of a request that did not run.
     pub fn cancel(&mut self, key: BudgetKey, nonce: u64) {
         let Some(account) = self.accounts.get_mut(&key) else {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Bills a request, at most what was reserved; what it is billed is returned.
+    /// Bills a request, at most its reservation, and returns the bill.
     pub fn settle(
         &mut self,
         key: BudgetKey,
@@ -113,7 +113,7 @@
     ) -> Result<Tokens, Violation> {
         let twice = Violation::BilledTwice {
             id: Id {
-                incarnation: self.me,
+                incarnation: self.incarnation,
                 nonce,
             },
         };
@@ -133,14 +133,14 @@
         }
     }
 
-    /// The witness has a settlement, or there is no witness: it may go to the log.
+    /// Marks a settlement as ready for the log: the witness has acknowledged it, or there is no witness.
     pub fn acknowledge(&mut self, key: BudgetKey, billed: Tokens) {
         let account = self.accounts.entry(key).or_default();
         account.acknowledged += billed;
         debug_assert!(account.acknowledged <= account.settled);
     }
 
-    /// Budgets whose acknowledged total is ahead of the ledger's, with the total.
+    /// Budgets whose acknowledged total exceeds the ledger's, with that total.
     pub fn unrecorded<'a>(
         &'a self,
         grant: impl Fn(BudgetKey) -> Grant + 'a,
@@ -151,34 +151,34 @@
             .map(|(key, account)| (*key, account.acknowledged))
     }
 
-    /// What to ask the ledger for when `short` is lacking.
+    /// Tokens to ask the ledger for at this shortage.
     pub fn ask(
         &self,
         now: Millis,
         key: BudgetKey,
-        short: Tokens,
-        left: Tokens,
+        shortage: Tokens,
+        unallotted: Tokens,
         holders: usize,
     ) -> Tokens {
         let demand = self.accounts.get(&key).map(|account| account.demand);
         let demand = demand.unwrap_or_default();
-        self.sizing.ask(now, short, &demand, left, holders)
+        self.sizing.ask(now, shortage, &demand, unallotted, holders)
     }
 
-    /// What may still be spent of a budget.
+    /// Tokens of a budget that can still be reserved.
     pub fn free(&self, key: BudgetKey, grant: Grant) -> Tokens {
         self.accounts
             .get(&key)
             .map_or(grant.granted, |account| account.free(grant))
     }
 
-    /// Whether the free part falls short of what will be wanted within `ahead`.
-    pub fn runs_low(&self, now: Millis, key: BudgetKey, grant: Grant, ahead: Millis) -> bool {
+    /// Whether the free tokens do not cover the estimated demand within `horizon`.
+    pub fn runs_low(&self, now: Millis, key: BudgetKey, grant: Grant, horizon: Millis) -> bool {
         let account = self.accounts.get(&key);
-        account.is_some_and(|account| account.free(grant) < account.demand.within(now, ahead))
+        account.is_some_and(|account| account.free(grant) < account.demand.within(now, horizon))
     }
 
-    /// Gives back what lies idle; the new running total, if there is any.
+    /// Returns idle tokens to the budget; the new running total of returned tokens, or `None` if there are none.
     pub fn return_idle(&mut self, now: Millis, key: BudgetKey, grant: Grant) -> Option<Tokens> {
         let sizing = self.sizing;
         let account = self.accounts.entry(key).or_default();
@@ -191,7 +191,7 @@
         Some(account.returned)
     }
 
-    /// Gives back all that is free.
+    /// Returns all free tokens to the budget; the new running total, or `None` if there are none.
     pub fn return_all(&mut self, key: BudgetKey, grant: Grant) -> Option<Tokens> {
         let account = self.accounts.entry(key).or_default();
         let free = account.free(grant);
@@ -199,7 +199,7 @@
         (free > Tokens::ZERO).then_some(account.returned)
     }
 
-    /// Running totals of what each budget was billed, for a new witness.
+    /// Running totals of the bills by budget, for a new witness.
     pub fn totals(&self) -> Vec<(BudgetKey, Tokens)> {
         let accounts = self.accounts.iter();
         accounts
@@ -207,7 +207,7 @@
             .collect()
     }
 
-    /// Requests settled and still remembered: budget, number, what they were billed.
+    /// Settled requests that are still remembered: budget, nonce and bill.
     pub fn settled(&self) -> Vec<(BudgetKey, u64, Tokens)> {
         let mut settled = Vec::new();
         for (key, account) in &self.accounts {
@@ -220,12 +220,12 @@
         settled
     }
 
-    /// Budgets that these accounts name.
+    /// Budgets with an account.
     pub fn keys(&self) -> Vec<BudgetKey> {
         self.accounts.keys().copied().collect()
     }
 
-    /// Forgets requests settled in epochs before `epoch`.
+    /// Drops settled requests of epochs before `epoch`.
     pub fn prune(&mut self, epoch: u32) {
         for account in self.accounts.values_mut() {
             account.entries.retain(|nonce, entry| {
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -1,7 +1,7 @@
-//! The fold over a shard stream: who holds how much of which budget.
+//! The state folded from a shard stream: its budgets and their grants.
 //!
-//! For each budget, at each offset: unallotted + held + settled + in doubt = prepaid. The ledger
-//! asserts this itself after every record that touches a budget.
+//! Invariant of each budget at each offset: unallotted + held + settled + in doubt = prepaid. The ledger checks it
+//! after every record that changes a budget.
 
 use std::collections::BTreeMap;
 
@@ -28,7 +28,7 @@
         self.budgets.get(index as usize)
     }
 
-    /// The index of a name.
+    /// The index of the budget with this name.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.names.get(name).copied()
     }
@@ -38,7 +38,7 @@
         (0..).zip(&self.budgets)
     }
 
-    /// What `holder` holds of a budget.
+    /// The grant of `holder` from a budget; zero if it has none.
     pub fn grant(&self, index: u32, holder: Incarnation) -> Grant {
         let budget = self.budget(index);
         budget
@@ -51,12 +51,15 @@
         &self.sequence
     }
 
-    /// What became of confirmed plans.
+    /// The outcomes of confirmed plans.
     pub fn outcomes(&self) -> &Outcomes {
         &self.outcomes
     }
 
-    /// Why a plan would be refused as things stand.
+    /// Checks a plan against the present state, without applying it.
+    ///
+    /// # Errors
+    /// The reason why it would be refused.
     pub fn judge(&self, plan: &Plan) -> Result<(), Refused> {
         for change in &plan.changes {
             match change {
@@ -129,8 +132,8 @@
         index
     }
 
-    /// An operator states that a gone holder will not spend: everything of it is billed up to
-    /// `billed`, and the rest comes back.
+    /// Releases the grant of a holder that an operator has declared gone for good: up to `billed` tokens of its open
+    /// part are billed, and the rest comes back to the budget.
     fn release(&mut self, offset: Offset, index: u32, holder: Incarnation, billed: Tokens) {
         let Some(budget) = self.budgets.get_mut(index as usize) else {
             return;
@@ -156,15 +159,16 @@
         let Some(budget) = self.budgets.get_mut(index as usize) else {
             return;
         };
-        let part = ask.min(budget.unallotted);
-        if part < ask {
+        let granted = ask.min(budget.unallotted);
+        if granted < ask {
             budget.scarce = Some(offset);
         }
-        budget.unallotted -= part;
-        budget.grants.entry(holder).or_default().granted += part;
+        budget.unallotted -= granted;
+        budget.grants.entry(holder).or_default().granted += granted;
     }
 
-    /// Changes what a holder has of a budget; what comes back to the budget is returned.
+    /// Changes a holder's grant. `change` returns the tokens that come back to the budget, or `None` if the change does
+    /// not fit the grant.
     fn change_grant(
         &mut self,
         key: BudgetKey,
@@ -181,7 +185,7 @@
         self.check(key.index)
     }
 
-    /// A planned stop: what the holder has left comes back.
+    /// Removes a holder after a planned stop; its unspent tokens come back to the budgets.
     fn leave(&mut self, offset: Offset, holder: Incarnation) {
         for budget in &mut self.budgets {
             if let Some(grant) = budget.grants.remove(&holder) {
@@ -192,17 +196,18 @@
         self.sequence.depart(holder, offset);
     }
 
-    /// What comes back is granted - settled - open; only the holder's witness of this offset may
-    /// say so. Budgets that it does not name were never used and come back whole.
+    /// Closes a holder: granted - returned - settled - open comes back to each budget. Only the router that is the
+    /// holder's witness at this offset may close it. A budget that the close record does not mention was never used,
+    /// and its grant comes back whole.
     fn close(
         &mut self,
         offset: Offset,
-        by: Incarnation,
+        closer: Incarnation,
         holder: Incarnation,
         closed: &[Closed],
     ) -> Result<(), Violation> {
         let member = self.sequence.member(holder);
-        if member.gone.is_some() || member.witness != Some(by) {
+        if member.gone.is_some() || member.witness != Some(closer) {
             return Ok(());
         }
         let mut result = Ok(());
@@ -210,9 +215,9 @@
             let Some(grant) = budget.grants.remove(&holder) else {
                 continue;
             };
-            let said = closed.iter().find(|closed| closed.budget.index == index);
-            let settled = said.map_or(Tokens::ZERO, |closed| closed.settled);
-            let open = said.map_or(&[][..], |closed| &closed.open[..]);
+            let reported = closed.iter().find(|closed| closed.budget.index == index);
+            let settled = reported.map_or(Tokens::ZERO, |closed| closed.settled);
+            let open = reported.map_or(&[][..], |closed| &closed.open[..]);
             let doubt = open.iter().map(|open| open.reserved).sum();
             let left = grant.granted.saturating_sub(grant.returned);
             if settled < grant.settled || settled + doubt > left {
@@ -234,7 +239,7 @@
         result
     }
 
-    /// The bill of a request that was in doubt; it counts once.
+    /// Bills a request that was in doubt; the bill counts once.
     fn resolve(
         &mut self,
         holder: Incarnation,
@@ -301,8 +306,8 @@
                 let result = self.close(offset, writer, *holder, budgets);
                 result.and(self.check_all())
             }
-            // Only the witness that closed the holder judges its requests: an earlier one, with old
-            // accounts, may think that it still does.
+            // Only the witness that closed the holder may resolve its requests: an earlier witness, whose replica is
+            // out of date, may still try to.
             Record::Resolve {
                 holder,
                 nonce,
@@ -312,8 +317,8 @@
                 result.and(self.check_all())
             }
             Record::Change(plan) => self.confirm(offset, plan),
-            // A closed writer's grants, settlements and returns are void, and so is the word of one
-            // that is not the judge; the rest is not for us.
+            // Ignored: records of a writer that has left or was closed, and resolutions by a router that is not the
+            // witness. Marks and checkpoints do not concern the ledger.
             Record::Grant { .. }
             | Record::Settle { .. }
             | Record::Return { .. }
--- a/src/router/budget/mod.rs
+++ b/src/router/budget/mod.rs
@@ -1,10 +1,9 @@
-//! Prepaid budgets as escrow.
+//! Prepaid budgets, with escrow accounting.
 //!
-//! The [`Ledger`] is the fold over a shard stream: it hands parts of a budget to router
-//! incarnations as grants. A [`Holder`] spends only from its grants, and asks its witness before
-//! each dispatch. A [`Witness`] keeps the unsettled requests of other holders, and after it has
-//! closed one it acknowledges nothing more for it. No clock takes part in any of this: time only
-//! decides when somebody tries.
+//! The [`Ledger`] is the state folded from a shard stream: it grants parts of a budget to router incarnations. A
+//! [`Holder`] spends only from its grants, and registers each request with its witness before it dispatches it. A
+//! [`Witness`] keeps replicas of the open requests of other holders; once it has closed a holder, it acknowledges
+//! nothing more for it. Correctness depends on no clock: time only decides when an operation is attempted.
 
 mod account;
 mod demand;
--- a/src/router/budget/reservation.rs
+++ b/src/router/budget/reservation.rs
@@ -1,4 +1,4 @@
-//! What a witness keeps of an open request: enough to bill it if its holder never does.
+//! An open request as a witness keeps it, with enough data to bill the request if its holder never does.
 
 use std::net::SocketAddr;
 
@@ -10,27 +10,27 @@
 /// How a request is billed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Price {
-    /// By tokens used, each at so many thousandths.
+    /// By tokens used, at this price per token in thousandths.
     Permille(u32),
-    /// All that is reserved, once it ran.
+    /// The whole reservation, if the request ran.
     Whole,
 }
 
-/// An open request as its witness knows it.
+/// An open request as its witness keeps it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The most that it can cost.
+    /// Maximum cost.
     pub reserved: Tokens,
-    /// The id that its target is told.
+    /// The request id that is sent to the target.
     pub request: Id,
-    /// Where it goes.
+    /// Address of the target.
     pub target: SocketAddr,
     /// How it is billed.
     pub price: Price,
 }
 
 impl Reservation {
-    /// The bill for what the target says was used.
+    /// The bill for the usage that the target reports, at most the reserved tokens.
     pub fn bill(&self, used: Tokens) -> Tokens {
         match self.price {
             Price::Permille(permille) => used.priced(permille).min(self.reserved),
--- a/src/router/budget/ward.rs
+++ b/src/router/budget/ward.rs
@@ -1,6 +1,7 @@
-//! What a witness keeps for one holder: totals, and the requests that are not settled in the log yet.
+//! A witness's replica of one holder: billed totals, and the requests that are open or were settled recently.
 //!
-//! It is sent to a new witness as it is, so the order of fields is part of its form.
+//! It is also the wire format in which a holder sends its accounts to a new witness, and is encoded by position: the
+//! order of the fields must not change.
 
 use std::collections::BTreeMap;
 
@@ -12,18 +13,18 @@
 use crate::router::request::{EPOCH_KEEP, epoch_of};
 use crate::units::Tokens;
 
-/// State of a ward's request.
+/// State of a request in a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// Dispatched, or about to be.
+    /// It is dispatched, or about to be.
     Open(Reservation),
-    /// Billed.
+    /// It was billed this much.
     Settled(Tokens),
-    /// Another router runs it.
+    /// This other router has taken it over.
     TakenOver(Incarnation),
 }
 
-/// What is kept for one holder.
+/// A witness's replica of one holder.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Replica {
     pub(super) totals: BTreeMap<BudgetKey, Tokens>,
@@ -32,7 +33,7 @@
 }
 
 impl Replica {
-    /// A holder's accounts, for a new witness: totals, open requests, settled requests.
+    /// Creates a replica for a new witness from a holder's totals, open requests and settled requests.
     pub fn new(
         totals: &[(BudgetKey, Tokens)],
         open: &[(BudgetKey, u64, Reservation)],
@@ -52,21 +53,21 @@
         }
     }
 
-    /// What a close tells of it.
+    /// The holder's accounts by budget, as a close record states them.
     pub(super) fn report(&self) -> Vec<Closed> {
         let mut budgets: BTreeMap<BudgetKey, Closed> = BTreeMap::new();
-        let blank = |budget| Closed {
+        let empty = |budget| Closed {
             budget,
             settled: Tokens::ZERO,
             open: Vec::new(),
         };
         for (budget, settled) in &self.totals {
-            let entry = budgets.entry(*budget).or_insert_with(|| blank(*budget));
+            let entry = budgets.entry(*budget).or_insert_with(|| empty(*budget));
             entry.settled = *settled;
         }
         for (nonce, (budget, state)) in &self.entries {
             if let State::Open(reservation) = *state {
-                let entry = budgets.entry(*budget).or_insert_with(|| blank(*budget));
+                let entry = budgets.entry(*budget).or_insert_with(|| empty(*budget));
                 let nonce = *nonce;
                 let reserved = reservation.reserved;
                 entry.open.push(Open { nonce, reserved });
@@ -75,7 +76,7 @@
         budgets.into_values().collect()
     }
 
-    /// Forgets what was settled in epochs that are too old to be asked about.
+    /// Drops requests that are not open and whose epoch is too old for a takeover to be decided.
     pub(super) fn prune(&mut self) {
         let oldest = self.epoch.saturating_sub(EPOCH_KEEP);
         self.entries.retain(|nonce, (_, state)| {
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -1,9 +1,9 @@
-//! What a router keeps in memory for the holders that have named it their witness.
+//! In-memory replicas of the holders that have named this router their witness.
 //!
-//! It is a bounded outbox and no store: it is empty once the log has the settlements. It is also
-//! the one judge when a request of a lost holder is taken over: an entry goes from open to settled
-//! or to taken, once. After a close nothing is acknowledged for the holder any more, so what it
-//! has not opened here it can never have dispatched.
+//! A replica is a bounded buffer of what the log does not have yet, not a durable store: it is empty once the log has
+//! the settlements. The witness alone decides whether a request of a lost holder may be taken over: an entry changes
+//! from open to settled or to taken over, once. After a close nothing is acknowledged for the holder any more, so a
+//! request that the holder has not opened here was never dispatched and never will be.
 
 use std::collections::BTreeMap;
 
@@ -16,127 +16,128 @@
 use crate::router::request::{EPOCH_KEEP, Id};
 use crate::units::{Millis, Tokens};
 
-/// A closed ward is kept for this long, for retries of its requests.
-const CLOSED_KEEP: Millis = Millis(3_600_000);
+/// The replica of a closed holder is kept for this long, for retries of its requests.
+const CLOSED_RETENTION: Millis = Millis(3_600_000);
 
 /// A witness's answer to a holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Answer {
-    /// Noted.
+    /// The notice is recorded.
     Acknowledged,
-    /// The holder was closed. For a settlement, `billed` says whether it still counts.
+    /// The holder is closed.
     Closed {
-        /// Whether the bill stands.
+        /// For a settlement: whether the bill counts. False for every other notice.
         billed: bool,
     },
-    /// This router is not, or no longer, the witness.
+    /// This router is not the holder's witness, or not any more.
     Unknown,
 }
 
-/// A witness's answer to a router that wants to run a lost holder's request.
+/// A witness's answer to a router that wants to take over a lost holder's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TakeoverAnswer {
-    /// It was never dispatched, and never will be: run it.
+    /// It was never dispatched, and never will be: the asker may run it.
     Fresh,
-    /// It was dispatched and not settled; it is released from the bill there: run and bill it.
+    /// It was dispatched and is not settled. If it is repeatable, the lost holder is billed nothing for it, and the
+    /// asker may run and bill it.
     Open,
-    /// It was billed this much already: run it again at no charge.
+    /// It was billed this much already: the asker may run a repeatable request again at no charge.
     Settled(Tokens),
-    /// The asker was given it before.
+    /// The asker has taken it over before.
     Yours,
-    /// Another router has it.
+    /// This other router has taken it over.
     Other(Incarnation),
     /// The holder is not closed.
     Alive,
-    /// Its id is too old to be judged.
+    /// Its id is too old to decide.
     Expired,
-    /// This router cannot judge.
+    /// This router has no replica of the holder and cannot decide.
     Unknown,
 }
 
-/// How a holder's call stands to those before it.
+/// The position of a holder's call relative to the last one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Replay {
     /// The next one.
     New,
-    /// The last one once more, with what it was answered.
+    /// The last one repeated, with the answers that it got.
     Repeated(Vec<Answer>),
-    /// An older one, or one with a gap before it.
+    /// An older one, or one that follows a gap in the sequence.
     Stale,
 }
 
-/// The bill of a closed holder's request, to be written after the close.
+/// The bill of a closed holder's request, written to the log after the close record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Resolved {
     /// The request.
     pub id: Id,
     /// The budget that pays.
     pub budget: BudgetKey,
-    /// What it is billed.
+    /// Its bill.
     pub billed: Tokens,
 }
 
-/// A closed holder's request whose outcome nobody has told.
+/// A closed holder's request with an unknown outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Doubt {
     /// The request.
     pub id: Id,
     /// The budget that pays.
     pub budget: BudgetKey,
-    /// What may be billed, and where it went.
+    /// Its reservation, with the target that can be asked.
     pub reservation: Reservation,
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct HolderRecord {
     replica: Replica,
-    /// The holder's last call and what it was answered.
-    last: (u64, Vec<Answer>),
-    heard: Millis,
+    /// Sequence number of the holder's last call, and the answers that it got.
+    last_call: (u64, Vec<Answer>),
+    last_heard: Millis,
     closed: Option<Millis>,
-    /// The accounts at the close, as the close records tell them.
+    /// The accounts at the close, as stated in the close records.
     report: Vec<Closed>,
-    /// Bills, decided since the close, that the log may not have yet.
+    /// Bills decided since the close that may not be in the log yet.
     resolved: Vec<Resolved>,
 }
 
-/// The first call of a link; its number within the link is the lower half.
-fn is_first(seq: u64) -> bool {
+/// Whether this is the first call of a link; the lower half of a sequence number counts the calls of one link.
+fn is_first_of_link(seq: u64) -> bool {
     seq & 0xffff_ffff == 1
 }
 
-/// All wards of a router.
+/// The replicas that a router keeps as a witness.
 #[derive(Clone, Debug, Default)]
 pub struct Witness {
-    replicas: BTreeMap<Incarnation, Held>,
+    replicas: BTreeMap<Incarnation, HolderRecord>,
 }
 
 impl Witness {
-    /// Becomes a holder's witness, with its accounts so far.
+    /// Becomes the witness of a holder, with a replica of its accounts so far.
     pub fn adopt(&mut self, now: Millis, holder: Incarnation, replica: Replica) -> Answer {
         match self.replicas.get_mut(&holder) {
-            Some(held) if held.closed.is_some() => Answer::Closed { billed: false },
-            Some(held) => {
-                held.replica = replica;
-                held.heard = now;
+            Some(record) if record.closed.is_some() => Answer::Closed { billed: false },
+            Some(record) => {
+                record.replica = replica;
+                record.last_heard = now;
                 Answer::Acknowledged
             }
             None => {
-                let held = Held {
+                let record = HolderRecord {
                     replica,
-                    last: (0, Vec::new()),
-                    heard: now,
+                    last_call: (0, Vec::new()),
+                    last_heard: now,
                     closed: None,
                     report: Vec::new(),
                     resolved: Vec::new(),
                 };
-                self.replicas.insert(holder, held);
+                self.replicas.insert(holder, record);
                 Answer::Acknowledged
             }
         }
     }
 
-    /// The holder is about to dispatch a request.
+    /// Records that the holder is about to dispatch a request.
     pub fn open(
         &mut self,
         now: Millis,
@@ -144,48 +145,48 @@
         budget: BudgetKey,
         reservation: Reservation,
     ) -> Answer {
-        let Some(held) = self.replicas.get_mut(&id.incarnation) else {
+        let Some(record) = self.replicas.get_mut(&id.incarnation) else {
             return Answer::Unknown;
         };
-        if held.closed.is_some() {
+        if record.closed.is_some() {
             return Answer::Closed { billed: false };
         }
-        held.heard = now;
-        held.replica.epoch = held.replica.epoch.max(id.epoch());
-        let entry = held.replica.entries.entry(id.nonce);
+        record.last_heard = now;
+        record.replica.epoch = record.replica.epoch.max(id.epoch());
+        let entry = record.replica.entries.entry(id.nonce);
         let (_, state) = entry.or_insert((budget, State::Open(reservation)));
-        // Another dispatch of it may go elsewhere; what is settled stays settled.
+        // A repeated dispatch may go to another target; a settled request stays settled.
         if let State::Open(known) = state {
             *known = reservation;
         }
         Answer::Acknowledged
     }
 
-    /// The holder has billed a request; `None` means that it was never dispatched.
+    /// Records the holder's bill of a request; `None` if the request was never dispatched.
     pub fn settle(&mut self, now: Millis, id: Id, billed: Option<Tokens>) -> Answer {
-        let Some(held) = self.replicas.get_mut(&id.incarnation) else {
+        let Some(record) = self.replicas.get_mut(&id.incarnation) else {
             return Answer::Unknown;
         };
-        held.heard = now;
-        let Some((budget, state)) = held.replica.entries.get_mut(&id.nonce) else {
+        record.last_heard = now;
+        let Some((budget, state)) = record.replica.entries.get_mut(&id.nonce) else {
             return Answer::Acknowledged;
         };
         let budget = *budget;
-        match (*state, billed, held.closed) {
+        match (*state, billed, record.closed) {
             (State::Open(_), Some(billed), None) => {
                 *state = State::Settled(billed);
-                *held.replica.totals.entry(budget).or_default() += billed;
+                *record.replica.totals.entry(budget).or_default() += billed;
                 Answer::Acknowledged
             }
             (State::Open(_), None, None) => {
-                held.replica.entries.remove(&id.nonce);
+                record.replica.entries.remove(&id.nonce);
                 Answer::Acknowledged
             }
             (State::Open(_), bill, Some(_)) => {
                 let bill = bill.unwrap_or(Tokens::ZERO);
                 *state = State::Settled(bill);
                 let billed = bill;
-                held.resolved.push(Resolved { id, budget, billed });
+                record.resolved.push(Resolved { id, budget, billed });
                 Answer::Closed { billed: true }
             }
             (State::Settled(_), _, None) => Answer::Acknowledged,
@@ -194,71 +195,76 @@
         }
     }
 
-    /// Whether the holder's call `seq` is new, was answered already, or cannot be taken.
+    /// Whether the holder's call `seq` is new, was answered already, or must be ignored.
     pub fn replay(&self, holder: Incarnation, seq: u64) -> Replay {
         match self.replicas.get(&holder) {
-            None if is_first(seq) => Replay::New,
+            None if is_first_of_link(seq) => Replay::New,
             None => Replay::Stale,
-            Some(held) if seq == held.last.0 => Replay::Repeated(held.last.1.clone()),
-            Some(held) if seq == held.last.0 + 1 => Replay::New,
-            Some(held) if is_first(seq) && seq > held.last.0 => Replay::New,
+            Some(record) if seq == record.last_call.0 => {
+                Replay::Repeated(record.last_call.1.clone())
+            }
+            Some(record) if seq == record.last_call.0 + 1 => Replay::New,
+            Some(record) if is_first_of_link(seq) && seq > record.last_call.0 => Replay::New,
             Some(_) => Replay::Stale,
         }
     }
 
-    /// Remembers what the call `seq` was answered.
+    /// Records the answers to the call `seq`, in case the call is repeated.
     pub fn record_answers(&mut self, holder: Incarnation, seq: u64, answers: &[Answer]) {
-        if let Some(held) = self.replicas.get_mut(&holder) {
-            held.last = (seq, answers.to_vec());
+        if let Some(record) = self.replicas.get_mut(&holder) {
+            record.last_call = (seq, answers.to_vec());
         }
     }
 
-    /// A holder is still there.
+    /// Records that a holder is alive and in this epoch.
     pub fn heard(&mut self, now: Millis, holder: Incarnation, epoch: u32) -> Answer {
         match self.replicas.get_mut(&holder) {
             None => Answer::Unknown,
-            Some(held) if held.closed.is_some() => Answer::Closed { billed: false },
-            Some(held) => {
-                held.heard = now;
-                held.replica.epoch = held.replica.epoch.max(epoch);
-                held.replica.prune();
+            Some(record) if record.closed.is_some() => Answer::Closed { billed: false },
+            Some(record) => {
+                record.last_heard = now;
+                record.replica.epoch = record.replica.epoch.max(epoch);
+                record.replica.prune();
                 Answer::Acknowledged
             }
         }
     }
 
-    /// Wards that have been silent for `span` and are not closed.
+    /// Holders that are not closed and have been silent for longer than `span`.
     pub fn silent(&self, now: Millis, span: Millis) -> Vec<Incarnation> {
         let replicas = self.replicas.iter();
         replicas
-            .filter(|(_, held)| held.closed.is_none() && now > held.heard + span)
+            .filter(|(_, record)| record.closed.is_none() && now > record.last_heard + span)
             .map(|(holder, _)| *holder)
             .collect()
     }
 
-    /// Acknowledges nothing more for a holder from here on.
+    /// Closes a holder: nothing is acknowledged for it any more.
     pub fn close(&mut self, now: Millis, holder: Incarnation) {
-        if let Some(held) = self.replicas.get_mut(&holder)
-            && held.closed.is_none()
+        if let Some(record) = self.replicas.get_mut(&holder)
+            && record.closed.is_none()
         {
-            held.closed = Some(now);
-            held.report = held.replica.report();
+            record.closed = Some(now);
+            record.report = record.replica.report();
         }
     }
 
-    /// Closed wards.
+    /// Closed holders.
     pub fn closed(&self) -> Vec<Incarnation> {
         let replicas = self.replicas.iter();
         replicas
-            .filter(|(_, held)| held.closed.is_some())
+            .filter(|(_, record)| record.closed.is_some())
             .map(|(holder, _)| *holder)
             .collect()
     }
 
-    /// What the close record says of a holder's budgets in one shard: the accounts at the close,
-    /// however late it is written. What is decided since follows in resolve records.
+    /// A holder's accounts in one shard for its close record: those at the time of the close, however late the record
+    /// is written. Later decisions follow in resolve records.
     pub fn report(&self, holder: Incarnation, shard: u8) -> Vec<Closed> {
-        let report = self.replicas.get(&holder).map(|held| held.report.iter());
+        let report = self
+            .replicas
+            .get(&holder)
+            .map(|record| record.report.iter());
         let report = report.into_iter().flatten();
         report
             .filter(|closed| closed.budget.shard == shard)
@@ -266,23 +272,24 @@
             .collect()
     }
 
-    /// Judges whether `by` may run a request of a lost holder; `repeatable` requests that were
-    /// dispatched may be taken over, others may not.
+    /// Decides whether `by` may take over a request of a lost holder. A request that was dispatched may only be taken
+    /// over if it is `repeatable`.
     pub fn take_over(&mut self, id: Id, by: Incarnation, repeatable: bool) -> TakeoverAnswer {
-        let Some(held) = self.replicas.get_mut(&id.incarnation) else {
+        let Some(record) = self.replicas.get_mut(&id.incarnation) else {
             return TakeoverAnswer::Unknown;
         };
-        if held.closed.is_none() {
+        if record.closed.is_none() {
             return TakeoverAnswer::Alive;
         }
-        let Some((budget, state)) = held.replica.entries.get_mut(&id.nonce) else {
-            if id.epoch() + EPOCH_KEEP < held.replica.epoch {
+        let Some((budget, state)) = record.replica.entries.get_mut(&id.nonce) else {
+            if id.epoch() + EPOCH_KEEP < record.replica.epoch {
                 return TakeoverAnswer::Expired;
             }
-            let nowhere = BudgetKey { shard: 0, index: 0 };
-            held.replica
+            let no_budget = BudgetKey { shard: 0, index: 0 };
+            record
+                .replica
                 .entries
-                .insert(id.nonce, (nowhere, State::TakenOver(by)));
+                .insert(id.nonce, (no_budget, State::TakenOver(by)));
             return TakeoverAnswer::Fresh;
         };
         match *state {
@@ -291,7 +298,7 @@
             State::Settled(billed) => TakeoverAnswer::Settled(billed),
             State::Open(_) if repeatable => {
                 *state = State::TakenOver(by);
-                held.resolved.push(Resolved {
+                record.resolved.push(Resolved {
                     id,
                     budget: *budget,
                     billed: Tokens::ZERO,
@@ -302,29 +309,29 @@
         }
     }
 
-    /// Bills decided since a close that the log may not have yet.
+    /// Bills of closed holders' requests that may not be in the log yet.
     pub fn unrecorded(&self) -> Vec<Resolved> {
         let replicas = self.replicas.values();
         replicas
-            .flat_map(|held| held.resolved.iter().copied())
+            .flat_map(|record| record.resolved.iter().copied())
             .collect()
     }
 
-    /// The log has a bill.
+    /// Records that the log has the bill of a request.
     pub fn mark_recorded(&mut self, id: Id) {
-        if let Some(held) = self.replicas.get_mut(&id.incarnation) {
-            held.resolved.retain(|resolved| resolved.id != id);
+        if let Some(record) = self.replicas.get_mut(&id.incarnation) {
+            record.resolved.retain(|resolved| resolved.id != id);
         }
     }
 
-    /// Requests of closed holders that are still open: ask their targets.
+    /// Open requests of closed holders; their targets must be asked for the outcome.
     pub fn in_doubt(&self) -> Vec<Doubt> {
         let closed = self
             .replicas
             .iter()
-            .filter(|(_, held)| held.closed.is_some());
-        let entries = closed.flat_map(|(holder, held)| {
-            let entries = held.replica.entries.iter();
+            .filter(|(_, record)| record.closed.is_some());
+        let entries = closed.flat_map(|(holder, record)| {
+            let entries = record.replica.entries.iter();
             entries.map(|(nonce, (budget, state))| (*holder, *nonce, *budget, *state))
         });
         let open = entries.filter_map(|(incarnation, nonce, budget, state)| match state {
@@ -338,41 +345,41 @@
         open.collect()
     }
 
-    /// The target of a closed holder's request says that it is done, and what it used.
+    /// Bills a closed holder's request whose target reports that it is done and has used this much.
     pub fn record_outcome(&mut self, id: Id, used: Tokens) {
-        let held = self.replicas.get(&id.incarnation);
-        let Some(held) = held.filter(|held| held.closed.is_some()) else {
+        let record = self.replicas.get(&id.incarnation);
+        let Some(record) = record.filter(|record| record.closed.is_some()) else {
             return;
         };
-        if let Some((_, State::Open(reservation))) = held.replica.entries.get(&id.nonce) {
-            let (heard, billed) = (held.heard, reservation.bill(used));
-            self.settle(heard, id, Some(billed));
+        if let Some((_, State::Open(reservation))) = record.replica.entries.get(&id.nonce) {
+            let (last_heard, billed) = (record.last_heard, reservation.bill(used));
+            self.settle(last_heard, id, Some(billed));
         }
     }
 
-    /// Forgets a holder that has found another witness.
+    /// Drops the replica of a holder that has another witness now.
     pub fn forget(&mut self, holder: Incarnation) {
         self.replicas.remove(&holder);
     }
 
-    /// Forgets wards closed long ago.
+    /// Drops the replicas of holders closed longer than [`CLOSED_RETENTION`] ago.
     pub fn prune(&mut self, now: Millis) {
         self.replicas
-            .retain(|_, held| held.closed.is_none_or(|at| now < at + CLOSED_KEEP));
+            .retain(|_, record| record.closed.is_none_or(|at| now < at + CLOSED_RETENTION));
     }
 
-    /// Whether a holder has named this router.
+    /// Whether this router has a replica of the holder.
     pub fn is_witness_of(&self, holder: Incarnation) -> bool {
         self.replicas.contains_key(&holder)
     }
 
-    /// Holders that have named this router, with when each was last heard.
+    /// Holders with a replica here, and the time at which each was last heard from.
     pub fn holders(&self) -> impl Iterator<Item = (Incarnation, Millis)> {
         let replicas = self.replicas.iter();
-        replicas.map(|(holder, held)| (*holder, held.heard))
+        replicas.map(|(holder, record)| (*holder, record.last_heard))
     }
 
-    /// Holders that this router is the witness of.
+    /// Number of replicas.
     pub fn replica_count(&self) -> usize {
         self.replicas.len()
     }
