--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -362,7 +362,7 @@
         self.replicas.remove(&holder);
     }
 
-    /// Drops the replicas of holders closed longer than [`CLOSED_RETENTION`] ago.
+    /// Drops the replicas of holders that were closed long ago.
     pub fn prune(&mut self, now: Millis) {
         self.replicas
             .retain(|_, record| record.closed.is_none_or(|at| now < at + CLOSED_RETENTION));
--- a/src/router/config/fold.rs
+++ b/src/router/config/fold.rs
@@ -1,4 +1,4 @@
-//! The fold over the configuration stream.
+//! The configuration, folded from its stream.
 
 use std::collections::BTreeMap;
 
@@ -14,13 +14,13 @@
 /// An object with its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Offset of the plan that set it; the fence of orders that follow from it.
+    /// Offset of the plan that set it; also the fence of the orders that are based on it.
     pub version: Offset,
     /// The value.
     pub object: Object,
 }
 
-/// What is in force.
+/// The configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     items: BTreeMap<Key, Item>,
@@ -34,7 +34,7 @@
         self.items.get(key)
     }
 
-    /// All objects in order of key.
+    /// All objects, in order of key.
     pub fn items(&self) -> impl Iterator<Item = (&Key, &Item)> {
         self.items.iter()
     }
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The objective of a class, or the default one.
+    /// The objective of a class, or the default objective.
     pub fn objective(&self, class: &str) -> Objective {
         match self.items.get(&Key::Objective(class.to_owned())) {
             Some(Item {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Whether any target is for this model or service, leaving ones included.
+    /// Whether any target is configured for this model or service, draining ones included.
     pub fn has_target(&self, kind: Kind, serves: &str) -> bool {
         let mut targets = self.targets();
         targets.any(|(_, _, target)| target.kind == kind && target.serves == serves)
@@ -87,12 +87,15 @@
         &self.sequence
     }
 
-    /// What became of confirmed plans.
+    /// The outcomes of confirmed plans.
     pub fn outcomes(&self) -> &Outcomes {
         &self.outcomes
     }
 
-    /// Why a plan would be refused as things stand.
+    /// Checks a plan against the present configuration, without applying it.
+    ///
+    /// # Errors
+    /// The reason why it would be refused.
     pub fn judge(&self, plan: &Plan) -> Result<(), Refused> {
         for change in &plan.changes {
             let (key, expect) = match change {
--- a/src/router/config/mod.rs
+++ b/src/router/config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration in force, as the fold over its stream, and the plans that operators' intents lead
-//! to against it and the ledgers.
+//! The configuration in force, folded from its stream, and the planning of operators' intents against it and the
+//! ledgers.
 
 mod fold;
 mod planning;
--- a/src/router/config/planning.rs
+++ b/src/router/config/planning.rs
@@ -1,4 +1,4 @@
-//! Intents as operators state them, and the plan that each leads to.
+//! Turns operators' intents into plans.
 
 use serde::{Deserialize, Serialize};
 use snafu::Snafu;
@@ -10,14 +10,14 @@
 use crate::units::{Offset, Tokens};
 use crate::util::is_name;
 
-/// Dearest price, in thousandths.
-const PRICE_MAX: u32 = 1_000_000;
+/// Maximum price per token, in thousandths.
+const PRICE_PERMILLE_MAX: u32 = 1_000_000;
 
-/// What an operator wants.
+/// A change that an operator wants.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Intent {
-    /// Set an object of the configuration, new or known.
+    /// Create or replace an object of the configuration.
     Put {
         /// Kind and name.
         key: Key,
@@ -29,43 +29,43 @@
         /// Kind and name.
         key: Key,
     },
-    /// Set a budget, new or known.
+    /// Create or change a budget.
     Budget {
         /// Its name.
         name: String,
         /// The customer that spends it.
         customer: String,
-        /// Tokens prepaid.
+        /// Prepaid tokens.
         prepaid: Tokens,
     },
-    /// Give a target no new work, or give it work again.
+    /// Stop sending new requests to a target, or resume.
     Drain {
         /// The target.
         target: String,
-        /// Whether it drains.
+        /// Whether the target gets no new requests.
         draining: bool,
     },
-    /// Change a class's place and price.
+    /// Change the rank and price of a class.
     Priority {
         /// The class.
         class: String,
-        /// Smaller runs first.
+        /// Rank; requests of a lower rank run first.
         rank: u8,
-        /// Price of a token, in thousandths.
+        /// Price per token, in thousandths.
         price_permille: u32,
     },
-    /// Vouch that a holder of a budget is gone for good.
+    /// Release the grant of a holder that the operator declares gone for good.
     Release {
         /// The budget.
         budget: String,
-        /// The holder, in hexadecimal.
+        /// The holder's incarnation, in hexadecimal.
         holder: String,
-        /// What of its open part is billed.
+        /// Tokens of its open part that are billed.
         billed: Tokens,
     },
 }
 
-/// Why there is no plan.
+/// Why an intent does not lead to a plan.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 pub enum Error {
     /// A field is out of range.
@@ -73,10 +73,10 @@
     Field {
         /// The field.
         field: &'static str,
-        /// What it accepts.
+        /// The values that it accepts.
         wanted: String,
     },
-    /// Something named is not there.
+    /// A named object does not exist.
     #[snafu(display("{kind} {name:?} is not known"))]
     Missing {
         /// Its kind.
@@ -89,13 +89,13 @@
 /// A plan as shown to the operator.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Proposal {
-    /// What to confirm.
+    /// The plan to confirm.
     pub plan: Plan,
-    /// What it means, a line each.
+    /// Its consequences, one line each.
     pub notes: Vec<String>,
 }
 
-/// What a plan is made against.
+/// The state that a plan is made against.
 pub struct Snapshot<'a> {
     /// The configuration in force.
     pub config: &'a Config,
@@ -116,7 +116,7 @@
 /// Turns an intent into a plan.
 ///
 /// # Errors
-/// A field out of range, or something named that is not there.
+/// A field is out of range, or a named object does not exist.
 pub fn plan(snapshot: &Snapshot<'_>, id: PlanId, intent: &Intent) -> Result<Proposal, Error> {
     match intent {
         Intent::Put { key, object } => put(snapshot, id, key, object.clone()),
@@ -148,7 +148,7 @@
     check_object(snapshot, &object)?;
     let old = snapshot.config.item(key);
     let expect = old.map_or(Offset::ZERO, |item| item.version);
-    let what = match old {
+    let note = match old {
         Some(_) => format!("{key} changes, planned against version {expect}"),
         None => format!("{key} is new"),
     };
@@ -158,7 +158,7 @@
         object,
         expect,
     };
-    Ok(proposal(id, Stream::Config, change, vec![what]))
+    Ok(proposal(id, Stream::Config, change, vec![note]))
 }
 
 fn check_object(snapshot: &Snapshot<'_>, object: &Object) -> Result<(), Error> {
@@ -190,8 +190,8 @@
 }
 
 fn check_class(class: &Class) -> Result<(), Error> {
-    if class.price_permille > PRICE_MAX {
-        return field("price_permille", &format!("0 to {PRICE_MAX}"));
+    if class.price_permille > PRICE_PERMILLE_MAX {
+        return field("price_permille", &format!("0 to {PRICE_PERMILLE_MAX}"));
     }
     if class.patience.0 == 0 || class.patience.0 > 3_600_000 {
         return field("patience", "1 to 3600000 ms");
@@ -244,7 +244,7 @@
         "budget {name} of {customer}: {prepaid} tokens prepaid"
     )];
     if let Some((_, old)) = old {
-        notes.push(cut_note(old, prepaid));
+        notes.push(resize_note(old, prepaid));
     }
     let change = Change::Budget {
         name: name.to_owned(),
@@ -257,7 +257,7 @@
     Ok(proposal(id, Stream::of_customer(customer), change, notes))
 }
 
-fn cut_note(old: &Budget, prepaid: Tokens) -> String {
+fn resize_note(old: &Budget, prepaid: Tokens) -> String {
     let before = old.terms.prepaid;
     if prepaid >= before {
         return format!("{} tokens more than before, at once", prepaid - before);
@@ -326,7 +326,10 @@
         return field("holder", "16 hexadecimal digits");
     };
     let held = budget.grants.get(&holder).map(|grant| grant.held());
-    let doubted = budget.doubt.iter().filter(|((who, _), _)| *who == holder);
+    let doubted = budget
+        .doubt
+        .iter()
+        .filter(|((owner, _), _)| *owner == holder);
     let open = held.unwrap_or(Tokens::ZERO) + doubted.map(|(_, amount)| *amount).sum();
     let notes = vec![
         format!(
@@ -355,11 +358,14 @@
     Proposal { plan, notes }
 }
 
-fn check_name(what: &'static str, name: &str) -> Result<(), Error> {
+fn check_name(field_name: &'static str, name: &str) -> Result<(), Error> {
     if is_name(name) {
         return Ok(());
     }
-    field(what, "1 to 64 letters, digits, dots, dashes or underscores")
+    field(
+        field_name,
+        "1 to 64 letters, digits, dots, dashes or underscores",
+    )
 }
 
 fn field<T>(field: &'static str, wanted: &str) -> Result<T, Error> {
--- a/src/router/intent/mod.rs
+++ b/src/router/intent/mod.rs
@@ -1,9 +1,9 @@
-//! What operators set and confirm: the objects of the configuration, and plans that change them.
+//! The objects of the configuration, and the plans by which operators change them.
 //!
-//! A [`Plan`] has the changes, each with the version of the object that it was planned against.
-//! Nothing is in force until the plan is confirmed, which appends it to the one stream that it
-//! touches. The fold accepts it only if every version still stands, so of two racing operators one is
-//! told "in force" and the other "stale".
+//! A [`Plan`] contains changes, each with the version of the object that it was planned against. No change is in force
+//! until the plan is confirmed, which appends it to the one stream that it affects. The fold accepts it only if all
+//! these versions are still current: of two operators that change the same object concurrently, one gets "in force" and
+//! the other "stale".
 
 mod object;
 mod plan;
--- a/src/router/intent/object.rs
+++ b/src/router/intent/object.rs
@@ -7,42 +7,42 @@
 
 use crate::units::{Millis, Tokens};
 
-/// A caller's organisation or department.
+/// An organisation or department that sends requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Customer {
     /// Hexadecimal SHA-256 of the secret part of its key.
     pub key_hash: String,
-    /// Requests in progress at one router, at most.
+    /// Maximum number of requests in progress at one router.
     pub concurrency: u32,
-    /// Names of the classes that it may use.
+    /// Names of the classes that its requests may use.
     pub classes: Vec<String>,
 }
 
 /// A priority class.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Class {
-    /// Smaller runs first.
+    /// Rank; requests of a lower rank run first.
     pub rank: u8,
-    /// Price of a token, in thousandths.
+    /// Price per token, in thousandths.
     pub price_permille: u32,
-    /// A request that cannot start within this is refused at once, in milliseconds.
+    /// A request that cannot start within this time is refused at once, in milliseconds.
     pub patience: Millis,
 }
 
-/// What a target is.
+/// Kind of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
-    /// A model engine.
+    /// An engine that runs a model.
     Engine,
     /// A runner of a plain service.
     Service,
 }
 
-/// A back end.
+/// A back end that runs requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
     /// Engine or service.
     pub kind: Kind,
@@ -50,22 +50,22 @@
     pub serves: String,
     /// Its data hall.
     pub hall: String,
-    /// Requests that it takes at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it checks the fence of orders.
+    /// Whether it checks the fence of orders, to reject an order with an older fence than it has seen.
     pub checks_fence: bool,
-    /// Whether it is to get no new work.
+    /// Whether it gets no new requests.
     pub draining: bool,
-    /// Price of one call of a service, in tokens; 0 for an engine, which bills by token.
+    /// Price per call of a service, in tokens; 0 for an engine, which is billed by token.
     pub call_price: Tokens,
 }
 
 /// A service-level objective of a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Objective {
-    /// Longest wait for the first token, in milliseconds.
+    /// Maximum time to the first token, in milliseconds.
     pub first_token: Millis,
-    /// Longest wait between two tokens, in milliseconds.
+    /// Maximum time between two tokens, in milliseconds.
     pub between_tokens: Millis,
     /// Share of requests that must meet both, in thousandths.
     pub share_permille: u32,
@@ -84,13 +84,13 @@
 /// The terms of a prepaid budget.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Terms {
-    /// The customer that spends it.
+    /// The customer that spends the budget.
     pub customer: String,
     /// Tokens paid for in advance.
     pub prepaid: Tokens,
 }
 
-/// An object of the configuration stream.
+/// An object in the configuration stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Object {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Whether an object is of this key's kind.
+    /// Whether the object is of this key's kind.
     pub fn fits(&self, object: &Object) -> bool {
         matches!(
             (self, object),
--- a/src/router/intent/plan.rs
+++ b/src/router/intent/plan.rs
@@ -1,4 +1,4 @@
-//! Plans, and what became of them.
+//! Plans and their outcomes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,10 +8,11 @@
 use crate::router::key::{BudgetKey, Incarnation, Stream};
 use crate::units::{Offset, Tokens};
 
-/// Plans whose outcome a stream remembers; a confirm repeated later is judged anew, and is stale.
+/// Number of plans whose outcomes a stream remembers. A plan that is confirmed again after its outcome is dropped is
+/// judged anew, and is stale.
 const OUTCOMES_MAX: usize = 1024;
 
-/// Identifies a plan, so that confirming it twice is confirming it once.
+/// Identifies a plan, so that confirming it twice has the effect of confirming it once.
 pub type PlanId = u64;
 
 /// One change of a plan.
@@ -24,7 +25,7 @@
         key: Key,
         /// The value.
         object: Object,
-        /// Its version when planned; 0 where it did not exist.
+        /// Its version when planned; 0 if it did not exist.
         expect: Offset,
     },
     /// Removes an object of the configuration.
@@ -40,28 +41,28 @@
         name: String,
         /// Its terms.
         terms: Terms,
-        /// Its version when planned; 0 where it did not exist.
+        /// Its version when planned; 0 if it did not exist.
         expect: Offset,
     },
-    /// Vouches that a holder is gone for good.
+    /// Releases the grant of a holder that the operator declares gone for good.
     Release {
         /// The budget.
         budget: BudgetKey,
         /// The holder.
         holder: Incarnation,
-        /// What of its open part is billed; the rest comes back.
+        /// Tokens of its open part that are billed; the rest comes back to the budget.
         billed: Tokens,
     },
 }
 
-/// What an operator confirms.
+/// A plan for an operator to confirm.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
     /// Its id.
     pub id: PlanId,
-    /// The stream that it touches.
+    /// The stream that it changes.
     pub stream: Stream,
-    /// All take effect, or none.
+    /// Its changes; all take effect, or none.
     pub changes: Vec<Change>,
 }
 
@@ -69,26 +70,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Refused {
-    /// An object has changed since; `version` is what it has now.
+    /// An object has changed since the plan was made.
     Stale {
-        /// Its version now.
+        /// The object's current version.
         version: Offset,
     },
-    /// A change does not fit the stream or what is in it.
+    /// A change does not fit the stream or its contents.
     Unfit,
 }
 
-/// What became of a plan.
+/// The outcome of a confirmed plan.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Outcome {
     /// In force from this offset on.
     InForce(Offset),
-    /// Not accepted.
+    /// Not accepted, for this reason.
     Refused(Refused),
 }
 
-/// The outcomes that a stream remembers.
+/// The plan outcomes that a stream remembers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
     by_plan: BTreeMap<PlanId, Outcome>,
@@ -96,13 +97,13 @@
 }
 
 impl Outcomes {
-    /// The outcome of a plan that the stream has taken.
+    /// The outcome of a plan, if it is remembered.
     pub fn get(&self, id: PlanId) -> Option<Outcome> {
         self.by_plan.get(&id).copied()
     }
 
-    /// Takes a confirmed plan at an offset, as it was judged; whether its changes are to be made. A
-    /// plan that is known counts once.
+    /// Records the outcome of a plan confirmed at `offset`; returns whether its changes must be applied. A plan that is
+    /// already recorded is not applied again.
     pub fn record(&mut self, id: PlanId, offset: Offset, judged: Result<(), Refused>) -> bool {
         if self.by_plan.contains_key(&id) {
             return false;
@@ -115,7 +116,7 @@
         judged.is_ok()
     }
 
-    /// Notes an outcome; the oldest is forgotten.
+    /// Inserts an outcome and drops the oldest one if there are too many.
     fn insert(&mut self, id: PlanId, outcome: Outcome) {
         self.by_plan.insert(id, outcome);
         self.order.push_back(id);
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -1,4 +1,4 @@
-//! The frames.
+//! Messages between routers. Frames encode them by position: the order of variants and fields must not change.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,88 +9,89 @@
 use crate::router::request::Id;
 use crate::units::Tokens;
 
-/// What a holder asks of its witness.
+/// A notice of a holder to its witness.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Notice {
-    /// Be my witness; these are my accounts.
+    /// Asks the router to become the holder's witness, with a replica of the holder's accounts.
     Adopt(Replica),
-    /// I am about to dispatch a request.
+    /// The holder is about to dispatch a request.
     Open {
-        /// Its number.
+        /// Its nonce.
         nonce: u64,
         /// The budget that pays.
         budget: BudgetKey,
-        /// What may be billed, and where it goes.
+        /// The maximum bill, and the target.
         reservation: Reservation,
     },
     /// A request is billed, or was never dispatched.
     Settle {
-        /// Its number.
+        /// Its nonce.
         nonce: u64,
         /// The bill; `None` where it was never dispatched.
         billed: Option<Tokens>,
     },
-    /// I am here, in this epoch.
+    /// The holder is alive.
     Heard {
-        /// The epoch.
+        /// The holder's current epoch.
         epoch: u32,
     },
 }
 
-/// A question to another router.
+/// A request to another router.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Request {
-    /// A heartbeat round: the sender first, then others that it knows of.
+    /// A heartbeat: the sender first, then other routers that it knows.
     Heartbeat {
-        /// What is told.
+        /// The routers.
         peers: Vec<Peer>,
     },
-    /// Asks of a holder to its witness. A call is repeated with the same `seq` until answered,
-    /// and takes effect once.
+    /// Notices of a holder to its witness. A call is repeated with the same `seq` until it is answered, and takes
+    /// effect once.
     Replicate {
-        /// The process meant; a new one at its address is no witness.
+        /// The receiver's incarnation; a later process at the same address is not the witness.
         to: Incarnation,
         /// The holder.
         holder: Incarnation,
-        /// One more than the last; the upper half counts the holder's links.
+        /// Sequence number, one more than that of the last call; the upper half counts the holder's links.
         seq: u64,
-        /// In order.
+        /// The notices, in order.
         notices: Vec<Notice>,
     },
-    /// May I run this request of a lost holder of yours?
+    /// Asks a lost holder's witness whether the sender may run a request of that holder.
     Takeover {
-        /// The process meant.
+        /// The receiver's incarnation.
         to: Incarnation,
         /// The request.
         id: Id,
         /// The shard of the customer's budgets.
         shard: u8,
-        /// Who asks.
+        /// The incarnation that wants to run it.
         by: Incarnation,
-        /// Whether it may be repeated.
+        /// Whether it may run more than once.
         repeatable: bool,
     },
-    /// What is your state of this stream?
+    /// Asks for the receiver's state of a stream.
     State {
         /// The stream.
         stream: Stream,
     },
 }
 
-/// An answer.
+/// A reply to a [`Request`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Reply {
-    /// To a heartbeat: the same in return.
+    /// Reply to a heartbeat: the replying router first, then other routers that it knows.
     Heartbeat {
-        /// What is told.
+        /// The routers.
         peers: Vec<Peer>,
     },
-    /// To a holder's asks, one each.
+    /// Reply to a holder's notices: one answer for each.
     Replicate(Vec<Answer>),
-    /// To a takeover.
+    /// Reply to a takeover.
     Takeover(TakeoverAnswer),
-    /// To a question for state.
+    /// Reply to a request for the state of a stream.
     State(Checkpoint),
-    /// The process meant is not here.
+    /// The receiver cannot answer: the incarnation meant does not run here, is not the holder's witness, or has not read
+    /// the whole stream.
     Gone,
 }
--- a/src/router/request/id.rs
+++ b/src/router/request/id.rs
@@ -1,9 +1,8 @@
-//! Request ids, bound to the incarnation that alone may run them.
+//! Request ids. An id is bound to the one incarnation that may run the request.
 //!
-//! An entry answer gives a prefix, `incarnation.epoch`; the caller adds a number of its own and
-//! sends the same id with every retry. The epoch counts the router's own uptime, so ids can be
-//! forgotten after a while without a request being run twice: an id of a forgotten epoch is not
-//! run at all.
+//! An entry answer contains a prefix, `incarnation.epoch`; the caller appends a number of its own and sends the same id
+//! with every retry. Epochs count the uptime of the router. Ids can therefore be dropped after some epochs without a
+//! request being run twice: a request with an id of a dropped epoch is not run.
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,28 +12,28 @@
 use crate::router::key::Incarnation;
 use crate::units::Millis;
 
-/// Uptime that an epoch spans.
+/// Uptime per epoch.
 pub const EPOCH_LENGTH: Millis = Millis(60_000);
-/// Epochs that ids and answers are kept for.
+/// Number of epochs for which ids and answers are kept.
 pub const EPOCH_KEEP: u32 = 10;
 
 /// A request's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
-    /// Who may run it.
+    /// The incarnation that may run it.
     pub incarnation: Incarnation,
-    /// Epoch in the upper half, the caller's number in the lower.
+    /// The epoch in the upper half, the caller's number in the lower.
     pub nonce: u64,
 }
 
 impl Id {
-    /// The epoch in which its prefix was given out.
+    /// The epoch in which its prefix was issued.
     pub fn epoch(self) -> u32 {
         epoch_of(self.nonce)
     }
 }
 
-/// The epoch of a request's number.
+/// The epoch of a nonce.
 pub(crate) fn epoch_of(nonce: u64) -> u32 {
     u32::try_from(nonce >> 32).expect("32 bits")
 }
@@ -49,23 +48,23 @@
     type Err = &'static str;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        const FORM: &str = "16 hexadecimal digits, a dot, and 16 hexadecimal digits";
-        let (incarnation, nonce) = text.split_once('.').ok_or(FORM)?;
+        const FORMAT: &str = "16 hexadecimal digits, a dot, and 16 hexadecimal digits";
+        let (incarnation, nonce) = text.split_once('.').ok_or(FORMAT)?;
         let digits = |part: &str| part.len() == 16 && part.bytes().all(|b| b.is_ascii_hexdigit());
         if !digits(incarnation) || !digits(nonce) {
-            return Err(FORM);
+            return Err(FORMAT);
         }
         Ok(Self {
-            incarnation: incarnation.parse().map_err(|_| FORM)?,
-            nonce: u64::from_str_radix(nonce, 16).map_err(|_| FORM)?,
+            incarnation: incarnation.parse().map_err(|_| FORMAT)?,
+            nonce: u64::from_str_radix(nonce, 16).map_err(|_| FORMAT)?,
         })
     }
 }
 
-/// What an entry answer gives a caller to make ids of.
+/// The prefix in an entry answer, from which a caller creates ids.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Prefix {
-    /// The router that will run them.
+    /// The incarnation that will run the requests.
     pub incarnation: Incarnation,
     /// Its epoch.
     pub epoch: u32,
--- a/src/router/request/mod.rs
+++ b/src/router/request/mod.rs
@@ -1,4 +1,4 @@
-//! A request: its id, its verdict, and the queue that it may wait in.
+//! Requests: their ids, the table of known ids, the queue they may wait in, and their verdicts.
 
 mod id;
 mod queue;
--- a/src/router/request/queue.rs
+++ b/src/router/request/queue.rs
@@ -1,8 +1,8 @@
-//! Who waits, in what order, and who is told at once that it would wait too long.
+//! The queue of waiting requests: its order, its length limit, and the early removal of requests that would wait too
+//! long.
 //!
-//! A request is ordered by its arrival plus `step` for each rank. A higher class therefore goes
-//! first, but no request is overtaken by one that arrives more than `rank * step` after it: that
-//! is the bound on starvation.
+//! Requests are ordered by arrival time plus `step` per rank. A class of a lower rank therefore goes first, but no
+//! request is overtaken by one that arrives more than `rank * step` after it, which bounds starvation.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 /// Limits of a queue.
 #[derive(Clone, Copy, Debug)]
 pub struct Bound {
-    /// Requests that wait, at most.
+    /// Maximum number of waiting requests.
     pub len: usize,
     /// Head start of each rank over the next, in milliseconds.
     pub step: Millis,
@@ -34,15 +34,15 @@
     pub ticket: Ticket,
     /// Rank of its class; smaller goes first.
     pub rank: u8,
-    /// When it came.
+    /// Time of arrival.
     pub arrived: Millis,
-    /// How long it may wait.
+    /// Longest time that it may wait.
     pub patience: Millis,
 }
 
 type Order = (Millis, Ticket);
 
-/// A bounded queue by class and arrival.
+/// A bounded queue, ordered by class and arrival.
 #[derive(Debug, Default)]
 pub struct Queue {
     bound: Bound,
@@ -50,7 +50,7 @@
 }
 
 impl Queue {
-    /// An empty queue.
+    /// Creates an empty queue.
     pub fn new(bound: Bound) -> Self {
         Self {
             bound,
@@ -63,8 +63,8 @@
         (Millis(start), waiting.ticket)
     }
 
-    /// Adds a request. Where the queue is full, the last of the lowest class is returned: it is
-    /// shed, be it the newcomer or another.
+    /// Adds a request. If the queue exceeds its limit, the last request of the lowest class (the highest rank) is
+    /// removed and returned, which may be the new one.
     pub fn push(&mut self, waiting: Waiting) -> Option<Waiting> {
         self.waiting.insert(self.order(&waiting), waiting);
         if self.waiting.len() <= self.bound.len {
@@ -76,46 +76,46 @@
         self.waiting.remove(&last)
     }
 
-    /// The request that goes next.
+    /// The request that starts next.
     pub fn first(&self) -> Option<&Waiting> {
         self.waiting.values().next()
     }
 
-    /// All that wait, in the order in which they go.
+    /// All waiting requests, in the order in which they start.
     pub fn iter(&self) -> impl Iterator<Item = &Waiting> {
         self.waiting.values()
     }
 
-    /// Takes a request out.
+    /// Removes a request.
     pub fn remove(&mut self, waiting: &Waiting) -> Option<Waiting> {
         self.waiting.remove(&self.order(waiting))
     }
 
-    /// Requests that will not start in time, were `per_second` to start from here on; they are
-    /// told now, and not when their patience is over.
+    /// Removes and returns the requests that will not start in time if `per_second` requests start from now on, so that
+    /// they are refused now and not only when their patience is over.
     pub fn remove_late(&mut self, now: Millis, per_second: f64) -> Vec<Waiting> {
         let mut ahead = 0.0;
-        let mut gone = Vec::new();
+        let mut late = Vec::new();
         for waiting in self.waiting.values() {
             let start = now.0 as f64 + ahead * 1_000.0 / per_second.max(0.001);
             if start > (waiting.arrived + waiting.patience).0 as f64 {
-                gone.push(*waiting);
+                late.push(*waiting);
             } else {
                 ahead += 1.0;
             }
         }
-        for waiting in &gone {
+        for waiting in &late {
             self.waiting.remove(&self.order(waiting));
         }
-        gone
+        late
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nobody waits.
+    /// Whether no request waits.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
--- a/src/router/request/table.rs
+++ b/src/router/request/table.rs
@@ -1,26 +1,26 @@
-//! Which ids this router knows, so that a retry joins its own request.
+//! The request ids that this router knows, so that a retry joins the request that it repeats.
 
 use std::collections::HashMap;
 
 use super::{EPOCH_KEEP, Id};
 
-/// One request in this process; never used again.
+/// Number of a request within this process; it is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What the table says of an arrival.
+/// Result of looking up an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Found {
-    /// Never seen.
+    /// The id is unknown.
     New,
-    /// The same request runs or has run here.
+    /// The same request waits, runs or has run here.
     Same(Ticket),
-    /// Another request had this id.
+    /// The id belongs to a different request.
     Reused,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Slot {
+struct Entry {
     ticket: Ticket,
     fingerprint: u64,
 }
@@ -28,46 +28,45 @@
 /// Ids of requests that are waiting, running, or have run.
 #[derive(Debug, Default)]
 pub struct Table {
-    slots: HashMap<Id, Slot>,
+    entries: HashMap<Id, Entry>,
 }
 
 impl Table {
-    /// Looks an arrival up; `fingerprint` is a hash of all that makes it the same request.
+    /// Looks up an arriving request; `fingerprint` is a hash of everything that identifies a request as the same.
     pub fn find(&self, id: Id, fingerprint: u64) -> Found {
-        match self.slots.get(&id) {
+        match self.entries.get(&id) {
             None => Found::New,
-            Some(slot) if slot.fingerprint == fingerprint => Found::Same(slot.ticket),
+            Some(entry) if entry.fingerprint == fingerprint => Found::Same(entry.ticket),
             Some(_) => Found::Reused,
         }
     }
 
-    /// Notes a request that is about to wait or run.
+    /// Inserts a request that is about to wait or run.
     pub fn insert(&mut self, id: Id, ticket: Ticket, fingerprint: u64) {
-        self.slots.insert(
+        self.entries.insert(
             id,
-            Slot {
+            Entry {
                 ticket,
                 fingerprint,
             },
         );
     }
 
-    /// Forgets a request that did not run, so that it may come again.
+    /// Removes a request that did not run, so that a retry is accepted as new.
     pub fn remove(&mut self, id: Id) {
-        self.slots.remove(&id);
+        self.entries.remove(&id);
     }
 
-    /// Forgets ids of old epochs, apart from those that `running` holds for; their tickets are
-    /// returned.
+    /// Removes ids of old epochs, except those of requests that are `running`, and returns the removed tickets.
     pub fn prune(&mut self, epoch: u32, running: impl Fn(Ticket) -> bool) -> Vec<Ticket> {
-        let mut gone = Vec::new();
-        self.slots.retain(|id, slot| {
-            let keep = id.epoch() + EPOCH_KEEP >= epoch || running(slot.ticket);
+        let mut removed = Vec::new();
+        self.entries.retain(|id, entry| {
+            let keep = id.epoch() + EPOCH_KEEP >= epoch || running(entry.ticket);
             if !keep {
-                gone.push(slot.ticket);
+                removed.push(entry.ticket);
             }
             keep
         });
-        gone
+        removed
     }
 }
--- a/src/router/request/verdict.rs
+++ b/src/router/request/verdict.rs
@@ -1,4 +1,4 @@
-//! Whether a request may have run.
+//! Verdicts: whether a request ran, did not run, or may have run.
 
 use std::fmt;
 
@@ -6,43 +6,43 @@
 
 use crate::units::{Millis, Tokens};
 
-/// Why a request was not run, or not to its end.
+/// Why a request did not run, or not to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// The budget has less left than the request may cost.
+    /// The budget has fewer tokens left than the request may cost.
     BudgetExhausted,
-    /// The rest of the budget lies with other routers, which have been asked for it.
+    /// The rest of the budget is granted to other routers, which have been asked to return it.
     BudgetElsewhere,
     /// There is no grant, and the log cannot be reached to get one.
     LogUnavailable,
     /// No witness can be reached.
     WitnessUnavailable,
-    /// The queue is full of work that goes first.
+    /// The queue is full of requests that go first.
     Overloaded,
     /// It could not start within its class's patience.
     TooLate,
-    /// The customer has as many requests in progress as it may.
+    /// The customer has reached its limit of requests in progress.
     TooMany,
-    /// No target serves this now.
+    /// No target for the model or service is available now.
     NoTarget,
     /// The router has not read the log yet.
     Starting,
     /// The router is about to stop.
     Stopping,
-    /// An invariant about the budget did not hold; an operator must look.
+    /// An invariant of the budget is violated; an operator must intervene.
     Suspended,
     /// The target refused it, or could not be reached.
     TargetRefused,
-    /// The target broke off or answered in a way that cannot be trusted.
+    /// The target broke off, or its answer cannot be trusted.
     TargetFailed,
-    /// The id belongs to another router.
+    /// The request id belongs to another router.
     Elsewhere,
-    /// The id is too old to be known.
+    /// The request id is too old to be known.
     Expired,
-    /// The router that the id belongs to is gone.
+    /// The router that the request id belongs to is gone.
     Lost,
-    /// The same id came with another request.
+    /// The request id was used for a different request before.
     IdReused,
     /// This router does not know the customer, budget or class, or not yet.
     Unknown,
@@ -51,7 +51,7 @@
 }
 
 impl Reason {
-    /// The word used on the wire and in logs.
+    /// The name used on the wire and in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::BudgetExhausted => "budget_exhausted",
@@ -83,31 +83,31 @@
     }
 }
 
-/// The verdict on a request.
+/// The outcome that a caller is told of its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// It ran, once, and was billed.
     Ran {
-        /// What it cost.
+        /// The bill.
         billed: Tokens,
     },
     /// It did not run, and nothing was billed.
     NotRun {
-        /// Why.
+        /// Why it did not run.
         reason: Reason,
-        /// When to come back.
+        /// Time after which to retry.
         retry_after: Millis,
     },
-    /// It may have run; a request that may not be repeated must not be sent again.
+    /// It may have run; a request that is not repeatable must not be sent again.
     MayHaveRun {
-        /// Why that is not known.
+        /// Why its outcome is unknown.
         reason: Reason,
     },
 }
 
 impl Verdict {
-    /// The word used on the wire and in logs.
+    /// The name used on the wire and in logs.
     pub fn as_str(&self) -> &'static str {
         match self {
             Self::Ran { .. } => "ran",
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Why it did not run, or is not known to have.
+    /// Why it did not run, or why its outcome is unknown; `None` if it ran.
     pub fn reason(&self) -> Option<Reason> {
         match self {
             Self::Ran { .. } => None,
