--- a/tests/ledger_sums.rs
+++ b/tests/ledger_sums.rs
@@ -1,4 +1,4 @@
-//! The ledger alone: whatever is written to a shard, its sums hold and no bill counts twice.
+//! A ledger by itself: for any records in a shard stream its sums hold, and no bill counts twice.
 
 use arbtest::arbitrary::{Result, Unstructured};
 use arbtest::arbtest;
@@ -12,7 +12,7 @@
 const KEY: BudgetKey = BudgetKey { shard: 0, index: 0 };
 const WITNESS: Incarnation = Incarnation(9);
 
-fn set(prepaid: u64, expect: u64, id: u64) -> Record {
+fn set_budget(prepaid: u64, expect: u64, id: u64) -> Record {
     let terms = Terms {
         customer: "c".into(),
         prepaid: Tokens(prepaid),
@@ -32,7 +32,7 @@
 fn ledger(prepaid: u64) -> Ledger {
     let mut ledger = Ledger::default();
     ledger
-        .apply(Offset(1), Incarnation(1), &set(prepaid, 0, 1))
+        .apply(Offset(1), Incarnation(1), &set_budget(prepaid, 0, 1))
         .unwrap();
     ledger
 }
@@ -90,13 +90,13 @@
     assert_eq!(parts(&ledger), [20, 50, 30, 0]);
     assert!(
         ledger.budget(0).unwrap().scarce.is_some(),
-        "the second grant was cut"
+        "the second grant was smaller than asked for"
     );
-    let too_much = Record::Settle {
+    let overdraft = Record::Settle {
         budget: KEY,
         settled: Tokens(81),
     };
-    let result = ledger.apply(Offset(3), holder, &too_much);
+    let result = ledger.apply(Offset(3), holder, &overdraft);
     assert!(matches!(result, Err(Violation::Overdrawn { .. })));
     assert_eq!(parts(&ledger), [20, 50, 30, 0]);
 }
@@ -115,7 +115,7 @@
         )
         .unwrap();
     ledger.apply(Offset(3), holder, &grant(80)).unwrap();
-    // Somebody else's close is void.
+    // A close by a router that is not the witness has no effect.
     ledger
         .apply(Offset(4), Incarnation(7), &close(0, &[]))
         .unwrap();
@@ -124,7 +124,7 @@
         .apply(Offset(5), WITNESS, &close(30, &[(5, 10)]))
         .unwrap();
     assert_eq!(parts(&ledger), [60, 0, 30, 10]);
-    // The holder that wakes spends nothing any more.
+    // Records that the holder writes after its close have no effect.
     ledger.apply(Offset(6), holder, &grant(50)).unwrap();
     ledger
         .apply(
@@ -142,7 +142,7 @@
         nonce: 5,
         billed: Tokens(billed),
     };
-    // Nobody but the witness that closed it judges its requests.
+    // Only the witness that closed the holder may resolve its requests.
     ledger
         .apply(Offset(6), Incarnation(8), &resolve(9))
         .unwrap();
@@ -161,7 +161,7 @@
     let entry = |seq, record| lanedeck::router::log::Entry { seq, record };
     let first = Batch {
         writer: Incarnation(1),
-        entries: vec![entry(1, set(100, 0, 1))],
+        entries: vec![entry(1, set_budget(100, 0, 1))],
     };
     let ask = Batch {
         writer: Incarnation(2),
@@ -173,7 +173,7 @@
     assert_eq!(parts(follower.state()), [90, 10, 0, 0]);
 }
 
-/// A record that may make no sense at all.
+/// An arbitrary record, which may contradict the ledger's state.
 fn any_record(u: &mut Unstructured) -> Result<Record> {
     let amount = |u: &mut Unstructured| u.int_in_range(0..=120).map(Tokens);
     let holder = |u: &mut Unstructured| u.int_in_range(1..=4).map(Incarnation);
@@ -214,7 +214,7 @@
             nonce: u.int_in_range(1..=3)?,
             billed: amount(u)?,
         },
-        _ => set(
+        _ => set_budget(
             u.int_in_range(0..=200)?,
             u.int_in_range(0..=5)?,
             u.int_in_range(2..=9)?,
@@ -231,12 +231,12 @@
                 let writer = Incarnation(u.int_in_range(1..=4)?);
                 let record = any_record(u)?;
                 let result = ledger.apply(Offset(offset), writer, &record);
-                let broken = matches!(result, Err(Violation::Conservation { .. }));
-                assert!(!broken, "{record:?} {result:?}");
+                let is_violated = matches!(result, Err(Violation::Conservation { .. }));
+                assert!(!is_violated, "{record:?} {result:?}");
                 let sum: u64 = parts(&ledger).iter().sum();
                 assert_eq!(sum, ledger.budget(0).unwrap().prepaid.0, "{record:?}");
-                let again = util::decode::<Ledger>(&util::encode(&ledger));
-                assert_eq!(again.as_ref(), Some(&ledger));
+                let decoded = util::decode::<Ledger>(&util::encode(&ledger));
+                assert_eq!(decoded.as_ref(), Some(&ledger));
             }
             Ok(())
         })
@@ -249,7 +249,7 @@
     for seed in 0..2_000_u64 {
         arbtest(|u| {
             let bytes: Vec<u8> = u.arbitrary()?;
-            // Whatever comes in is decoded or refused; it never brings the process down.
+            // Arbitrary input is decoded or refused; it never causes a panic.
             let _ = Batch::decode(&bytes);
             let _ = util::decode::<lanedeck::router::message::Request>(&bytes);
             let _ = util::decode::<lanedeck::router::message::Reply>(&bytes);
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -1,6 +1,6 @@
-//! What a router sends and stores, and what it tells callers and operators, as literals. A literal
-//! here is a promise to the processes, records and programs that are already there: it is never
-//! edited. Where a type's name or module changes, only the expressions beside the literals follow.
+//! Pins what a router sends, stores, and answers to callers and operators, as literals. Running processes, stored
+//! records and client programs depend on these forms, so a literal is never edited. If a type or module is renamed, only
+//! the expressions beside the literals change.
 
 mod pins;
 
@@ -25,7 +25,7 @@
 use pins::{options, pin};
 use serde::Serialize;
 
-/// The value's JSON is this.
+/// Asserts the JSON encoding of a value.
 #[track_caller]
 fn pin_json<T: Serialize>(literal: &str, value: &T) {
     assert_eq!(serde_json::to_string(value).unwrap(), literal);
@@ -176,7 +176,7 @@
         "01fb2c01fd0807060504030201fd050000000100000004000103012802080301010c09030100fb8403fd0807060504030201fd0900000002000000000a010203fb282300fbdc050201090301fb8403fd0807060504030201fd0900000002000000000a010203fb282301020901210302",
         &request,
     );
-    let take = Request::Takeover {
+    let takeover = Request::Takeover {
         to: OTHER,
         id: ID,
         shard: 3,
@@ -185,7 +185,7 @@
     };
     pin(
         "02fb2c01fd0807060504030201fd090000000200000003fd080706050403020101",
-        &take,
+        &takeover,
     );
     pin(
         "030103",
--- a/tests/random_runs.rs
+++ b/tests/random_runs.rs
@@ -1,7 +1,7 @@
-//! Randomised runs of the decision code; a failing seed becomes a test of its own.
+//! Randomised simulations of the decision code. A seed that fails becomes a test of its own.
 //!
-//! `LANEDECK_SEEDS=1000 cargo test --release --locked --test random_runs -- --nocapture` is the
-//! long run; `LANEDECK_SEED=7` runs one seed.
+//! `LANEDECK_SEEDS=1000 cargo test --release --locked --test random_runs -- --nocapture` runs many seeds;
+//! `LANEDECK_SEED=7` runs one.
 
 mod common;
 
@@ -42,8 +42,8 @@
         for (name, times) in &world.faults.0 {
             *faults.entry(name).or_default() += times;
         }
-        for (word, times) in &world.verdicts {
-            *verdicts.entry(word).or_default() += times;
+        for (name, times) in &world.verdicts {
+            *verdicts.entry(name).or_default() += times;
         }
     }
     println!("seeds={count} exact={exact} events={events} faults={faults:?} verdicts={verdicts:?}");
