--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// The reason why it would be refused.
-    pub fn judge(&self, plan: &Plan) -> Result<(), Refused> {
+    pub fn validate(&self, plan: &Plan) -> Result<(), Refused> {
         for change in &plan.changes {
             match change {
                 Change::Budget {
@@ -96,8 +96,8 @@
     }
 
     fn confirm(&mut self, offset: Offset, plan: &Plan) -> Result<(), Violation> {
-        let judged = self.judge(plan);
-        if !self.outcomes.record(plan.id, offset, judged) {
+        let validated = self.validate(plan);
+        if !self.outcomes.record(plan.id, offset, validated) {
             return Ok(());
         }
         let mut result = Ok(());
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -358,7 +358,7 @@
     }
 
     /// Drops the replica of a holder that has another witness now.
-    pub fn forget(&mut self, holder: Incarnation) {
+    pub fn remove(&mut self, holder: Incarnation) {
         self.replicas.remove(&holder);
     }
 
--- a/src/router/config/fold.rs
+++ b/src/router/config/fold.rs
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// The reason why it would be refused.
-    pub fn judge(&self, plan: &Plan) -> Result<(), Refused> {
+    pub fn validate(&self, plan: &Plan) -> Result<(), Refused> {
         for change in &plan.changes {
             let (key, expect) = match change {
                 Change::Put { key, object, .. } if !key.fits(object) => return Err(Refused::Unfit),
@@ -112,8 +112,8 @@
     }
 
     fn confirm(&mut self, offset: Offset, plan: &Plan) {
-        let judged = self.judge(plan);
-        if !self.outcomes.record(plan.id, offset, judged) {
+        let validated = self.validate(plan);
+        if !self.outcomes.record(plan.id, offset, validated) {
             return;
         }
         for change in &plan.changes {
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -98,8 +98,10 @@
                 let peers = self.membership.tell(self.now, &mut self.rng);
                 Reply::Heartbeat { peers }
             }
-            Request::Replicate { to, holder, .. } if !self.is_witness_of(to, holder) => Reply::Gone,
-            Request::Takeover { to, .. } if !self.witnesses.contains_key(&to) => Reply::Gone,
+            Request::Replicate { to, holder, .. } if !self.is_witness_of(to, holder) => {
+                Reply::Unavailable
+            }
+            Request::Takeover { to, .. } if !self.witnesses.contains_key(&to) => Reply::Unavailable,
             Request::Replicate {
                 to,
                 holder,
@@ -116,7 +118,7 @@
             Request::State { stream } if self.caught_up.contains(&stream) => {
                 Reply::State(self.snapshot(stream))
             }
-            Request::State { .. } => Reply::Gone,
+            Request::State { .. } => Reply::Unavailable,
         };
         self.actions.push(Action::Answer { token, reply });
     }
@@ -252,7 +254,7 @@
                 FORGET_AFTER
             };
             for holder in witness.silent(now, after) {
-                witness.forget(holder);
+                witness.remove(holder);
             }
         }
         self.write_closes();
--- a/src/router/intent/plan.rs
+++ b/src/router/intent/plan.rs
@@ -9,7 +9,7 @@
 use crate::units::{Offset, Tokens};
 
 /// Number of plans whose outcomes a stream remembers. A plan that is confirmed again after its outcome is dropped is
-/// judged anew, and is stale.
+/// validated anew, and is stale.
 const OUTCOMES_MAX: usize = 1024;
 
 /// Identifies a plan, so that confirming it twice has the effect of confirming it once.
@@ -104,16 +104,16 @@
 
     /// Records the outcome of a plan confirmed at `offset`; returns whether its changes must be applied. A plan that is
     /// already recorded is not applied again.
-    pub fn record(&mut self, id: PlanId, offset: Offset, judged: Result<(), Refused>) -> bool {
+    pub fn record(&mut self, id: PlanId, offset: Offset, validated: Result<(), Refused>) -> bool {
         if self.by_plan.contains_key(&id) {
             return false;
         }
-        let outcome = match judged {
+        let outcome = match validated {
             Ok(()) => Outcome::InForce(offset),
             Err(refused) => Outcome::Refused(refused),
         };
         self.insert(id, outcome);
-        judged.is_ok()
+        validated.is_ok()
     }
 
     /// Inserts an outcome and drops the oldest one if there are too many.
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -93,5 +93,5 @@
     State(Checkpoint),
     /// The receiver cannot answer: the incarnation meant does not run here, is not the holder's witness, or has not read
     /// the whole stream.
-    Gone,
+    Unavailable,
 }
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -229,7 +229,7 @@
         state: vec![1, 2],
     };
     pin("032805020102", &Reply::State(checkpoint));
-    pin("04", &Reply::Gone);
+    pin("04", &Reply::Unavailable);
 }
 
 #[test]
