--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -99,7 +99,7 @@
     fn refuse_too_late(&mut self, group: &(Kind, String)) {
         let rate = self.pool.rate(self.now, group.0, &group.1);
         if let Some(queue) = self.queues.get_mut(group) {
-            for late in queue.hopeless(self.now, rate) {
+            for late in queue.remove_late(self.now, rate) {
                 self.refuse(late.ticket, Reason::TooLate);
             }
         }
@@ -237,7 +237,7 @@
         let history = History {
             failure,
             attempts: job.attempt,
-            is_own: job.holder == self.holder.me(),
+            is_own: job.holder == self.holder.incarnation(),
         };
         if !retry::may_retry(&history, &self.retry_budget) {
             return false;
@@ -382,7 +382,7 @@
             self.refuse(ticket, Reason::WitnessUnavailable);
         }
         for ticket in undecided {
-            self.handle_takeover_answer(ticket, crate::router::budget::Taken::Unknown);
+            self.handle_takeover_answer(ticket, crate::router::budget::TakeoverAnswer::Unknown);
         }
         let settling = self
             .settling
--- a/src/router/control/operator.rs
+++ b/src/router/control/operator.rs
@@ -6,7 +6,7 @@
 use super::state::PendingConfirm;
 use super::{Action, State, Status, StatusPeer};
 use crate::router::budget::{Budget, Witness};
-use crate::router::config::{Intent, World, plan};
+use crate::router::config::{Intent, Snapshot, plan};
 use crate::router::intent::{Outcome, Plan, Refused};
 use crate::router::key::{BudgetKey, SHARDS, Stream};
 use crate::router::log::Record;
@@ -23,11 +23,11 @@
     /// Answers an operator's intent with a plan.
     pub(super) fn plan_intent(&mut self, token: ReplyToken, intent: &Intent) {
         let id = self.rng.random();
-        let world = World {
+        let snapshot = Snapshot {
             config: self.config.state(),
             ledgers: self.ledgers.iter().map(|ledger| ledger.state()).collect(),
         };
-        let result = plan(&world, id, intent);
+        let result = plan(&snapshot, id, intent);
         self.actions.push(Action::Planned { token, result });
     }
 
@@ -150,7 +150,7 @@
             stopping: self.stopping,
             log_up: !self.is_log_out(),
             witness: me.witness.map(hex),
-            wards: self.witnesses.values().map(Witness::wards).sum(),
+            wards: self.witnesses.values().map(Witness::replica_count).sum(),
             applied: applied.collect(),
             waiting: self
                 .queues
@@ -187,7 +187,7 @@
         unallotted: budget.unallotted,
         held: budget.held(),
         billed: budget.billed(),
-        in_doubt: budget.doubted(),
+        in_doubt: budget.in_doubt(),
         holders: holders
             .map(|(holder, grant)| (holder.to_string(), grant.held()))
             .collect(),
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -156,7 +156,7 @@
         self.shared
             .metrics
             .record_request(&key, objective, &verdict, sample);
-        let reason = verdict.reason().map_or("none", |reason| reason.word());
+        let reason = verdict.reason().map_or("none", |reason| reason.as_str());
         let billed = match verdict {
             Verdict::Ran { billed } => billed.0,
             _ => 0,
@@ -167,7 +167,7 @@
             customer = request.customer,
             class = request.class,
             serves = request.serves,
-            verdict = verdict.word(),
+            verdict = verdict.as_str(),
             reason,
             billed,
             first_ms = sample.first_ms,
@@ -175,7 +175,7 @@
         );
         self.shared.trail.record(
             request.id,
-            format!("verdict {}: {reason}, billed {billed}", verdict.word()),
+            format!("verdict {}: {reason}, billed {billed}", verdict.as_str()),
         );
         answer.end(verdict);
         // What did not run may come again as new; its answer is not kept.
--- a/src/router/http/reply.rs
+++ b/src/router/http/reply.rs
@@ -91,7 +91,7 @@
 
 fn unavailable(reason: Reason, message: &str, retry: Millis) -> Response {
     let mut response =
-        RequestError::new(StatusCode::SERVICE_UNAVAILABLE, reason.word(), message).reply();
+        RequestError::new(StatusCode::SERVICE_UNAVAILABLE, reason.as_str(), message).reply();
     set_retry_after(response.headers_mut(), retry);
     response
 }
@@ -100,7 +100,7 @@
 pub fn refused(id: Id, verdict: &Verdict, serves: &str) -> Response {
     let reason = verdict.reason().unwrap_or(Reason::Unknown);
     let body = json!({
-        "error": { "type": reason.word(), "message": message(verdict, reason, serves) },
+        "error": { "type": reason.as_str(), "message": message(verdict, reason, serves) },
         "lanedeck": verdict_json(id, verdict),
     });
     let mut response = json(status(verdict, reason), &body);
@@ -110,7 +110,7 @@
 
 /// The verdict as JSON, for the last event of a stream or the body of a reply.
 pub fn verdict_json(id: Id, verdict: &Verdict) -> Value {
-    let mut value = json!({ "verdict": verdict.word(), "request_id": id.to_string() });
+    let mut value = json!({ "verdict": verdict.as_str(), "request_id": id.to_string() });
     match verdict {
         Verdict::Ran { billed } => value["billed"] = json!(billed),
         Verdict::NotRun {
@@ -128,9 +128,9 @@
 /// Sets the headers that carry the request id and the verdict.
 pub fn set_verdict_headers(headers: &mut HeaderMap, id: Id, verdict: &Verdict) {
     set_header(headers, REQUEST_ID, &id.to_string());
-    set_header(headers, VERDICT, verdict.word());
+    set_header(headers, VERDICT, verdict.as_str());
     if let Some(reason) = verdict.reason() {
-        set_header(headers, REASON, reason.word());
+        set_header(headers, REASON, reason.as_str());
     }
     match verdict {
         Verdict::Ran { billed } => set_header(headers, BILLED, &billed.to_string()),
--- a/tests/common/world/callers.rs
+++ b/tests/common/world/callers.rs
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn finish(&mut self, node: usize, life: u64, ticket: Ticket, verdict: Verdict) {
-        *self.verdicts.entry(verdict.word()).or_default() += 1;
+        *self.verdicts.entry(verdict.as_str()).or_default() += 1;
         let caller = self.tickets.get(&(node, life, ticket)).copied();
         self.trace(|| {
             let id = caller.map(|caller| self.callers[caller].id.to_string());
@@ -133,7 +133,7 @@
             .iter()
             .filter(|(holder, _)| !live.contains(holder));
         let lost: u64 = dead.map(|(_, grant)| grant.held().0).sum();
-        let (billed, doubt) = (budget.billed().0, budget.doubted().0);
+        let (billed, doubt) = (budget.billed().0, budget.in_doubt().0);
         assert!(billed + doubt <= PREPAID);
         assert!(billed <= ran, "{name}: billed {billed}, ran {ran}");
         assert!(
--- a/tests/pinned_router.rs
+++ b/tests/pinned_router.rs
@@ -1,12 +1,12 @@
-//! What a router sends and stores, and what it tells callers and operators, as literals. A literal
-//! here is a promise to the processes, records and programs that are already there: it is never
-//! edited. Where a type's name or module changes, only the expressions beside the literals follow.
+//! Pins what a router sends, stores, and answers to callers and operators, as literals. Running processes, stored
+//! records and client programs depend on these forms, so a literal is never edited. If a type or module is renamed, only
+//! the expressions beside the literals change.
 
 mod pins;
 
 use std::net::SocketAddr;
 
-use lanedeck::router::budget::{Answer, Ledger, Price, Reservation, Taken, Ward};
+use lanedeck::router::budget::{Answer, Ledger, Price, Replica, Reservation, TakeoverAnswer};
 use lanedeck::router::config::{Config, Intent, Proposal};
 use lanedeck::router::control::{Status, StatusBudget, StatusPeer};
 use lanedeck::router::host::Peer;
@@ -25,7 +25,7 @@
 use pins::{options, pin};
 use serde::Serialize;
 
-/// The value's JSON is this.
+/// Asserts the JSON encoding of a value.
 #[track_caller]
 fn pin_json<T: Serialize>(literal: &str, value: &T) {
     assert_eq!(serde_json::to_string(value).unwrap(), literal);
@@ -147,14 +147,14 @@
             peers: vec![peer()],
         },
     );
-    let ward = Ward::new(
+    let replica = Replica::new(
         &[(BUDGET, Tokens(40))],
         &[(BUDGET, 9, reservation(Price::Permille(1_500)))],
         &[(BUDGET, 8, Tokens(12))],
         2,
     );
-    let asks = vec![
-        Notice::Adopt(ward),
+    let notices = vec![
+        Notice::Adopt(replica),
         Notice::Open {
             nonce: 9,
             budget: BUDGET,
@@ -166,17 +166,17 @@
         },
         Notice::Heard { epoch: 2 },
     ];
-    let request = Request::Ward {
+    let request = Request::Replicate {
         to: OTHER,
         holder: ME,
         seq: 1 << 32 | 5,
-        asks,
+        notices,
     };
     pin(
         "01fb2c01fd0807060504030201fd050000000100000004000103012802080301010c09030100fb8403fd0807060504030201fd0900000002000000000a010203fb282300fbdc050201090301fb8403fd0807060504030201fd0900000002000000000a010203fb282301020901210302",
         &request,
     );
-    let take = Request::Take {
+    let takeover = Request::Takeover {
         to: OTHER,
         id: ID,
         shard: 3,
@@ -185,7 +185,7 @@
     };
     pin(
         "02fb2c01fd0807060504030201fd090000000200000003fd080706050403020101",
-        &take,
+        &takeover,
     );
     pin(
         "030103",
@@ -204,24 +204,24 @@
         },
     );
     let answers = vec![
-        Answer::Noted,
+        Answer::Acknowledged,
         Answer::Closed { billed: true },
         Answer::Unknown,
     ];
-    pin("010300010102", &Reply::Ward(answers));
+    pin("010300010102", &Reply::Replicate(answers));
     let taken = [
-        Taken::Fresh,
-        Taken::Open,
-        Taken::Settled(Tokens(12)),
-        Taken::Yours,
-        Taken::Other(OTHER),
-        Taken::Alive,
-        Taken::Expired,
-        Taken::Unknown,
+        TakeoverAnswer::Fresh,
+        TakeoverAnswer::Open,
+        TakeoverAnswer::Settled(Tokens(12)),
+        TakeoverAnswer::Yours,
+        TakeoverAnswer::Other(OTHER),
+        TakeoverAnswer::Alive,
+        TakeoverAnswer::Expired,
+        TakeoverAnswer::Unknown,
     ];
     pin(
         "080200020102020c02030204fb2c01020502060207",
-        &taken.map(Reply::Taken).to_vec(),
+        &taken.map(Reply::Takeover).to_vec(),
     );
     let checkpoint = Checkpoint {
         through: Offset(40),
@@ -229,7 +229,7 @@
         state: vec![1, 2],
     };
     pin("032805020102", &Reply::State(checkpoint));
-    pin("04", &Reply::Gone);
+    pin("04", &Reply::Unavailable);
 }
 
 #[test]
@@ -578,7 +578,7 @@
         Reason::Unknown,
         Reason::UnknownModel,
     ];
-    let words: Vec<&str> = reasons.iter().map(|reason| reason.word()).collect();
+    let words: Vec<&str> = reasons.iter().map(|reason| reason.as_str()).collect();
     assert_eq!(
         words.join(" "),
         "budget_exhausted budget_elsewhere log_unavailable witness_unavailable overloaded too_late too_many no_target starting stopping suspended target_refused target_failed elsewhere expired lost id_reused unknown unknown_model"
