--- a/tests/crashing_request.rs
+++ b/tests/crashing_request.rs
@@ -69,8 +69,8 @@
     crashing: fn(usize) -> Ask,
     other: fn(usize) -> Ask,
 ) {
-    let (deployment, runners) = turns::fleet(GATEWAYS, TARGETS, service).await;
-    runners.iter().for_each(|runner| runner.looks_down(down));
+    let (deployment, runners) = turns::start_fleet(GATEWAYS, TARGETS, service).await;
+    runners.iter().for_each(|runner| runner.set_down(down));
     let fronts = turns::fronts(&deployment);
     let end = Instant::now() + SEND_FOR;
     let crashing = tokio::spawn(ask_in_turn(fronts.clone(), TRY_GAP, end, crashing));
@@ -143,7 +143,7 @@
 /// Routers that start later or restart also know of the quarantine.
 #[tokio::test(flavor = "multi_thread")]
 async fn crashing_after_start() {
-    let (mut deployment, runners) = turns::fleet(GATEWAYS, TARGETS, "app").await;
+    let (mut deployment, runners) = turns::start_fleet(GATEWAYS, TARGETS, "app").await;
     let mut number = 0;
     let begun = Instant::now();
     while crashes(&runners).len() < 3 || begun.elapsed() < 2 * KNOWN_BY {
@@ -154,7 +154,7 @@
     }
     for gateway in &mut deployment.gateways {
         gateway.kill();
-        gateway.start_again();
+        gateway.restart();
     }
     deployment.add("g3", &[]).await;
     deployment.wait_ready().await;
--- a/tests/deployment/mod.rs
+++ b/tests/deployment/mod.rs
@@ -136,7 +136,7 @@
     }
 
     /// Starts the next process under the same name and addresses, once the last one has ended.
-    pub fn start_again(&mut self) {
+    pub fn restart(&mut self) {
         assert!(self.has_ended(), "one process at a time has a name");
         let _starting = START.lock().unwrap_or_else(PoisonError::into_inner);
         self.child = spawn(&self.flags, self.log.as_ref());
@@ -219,7 +219,7 @@
     }
 
     /// Adds a gateway whose store is somewhere else.
-    pub fn add_at(&mut self, name: &str, store: SocketAddr, flags: &[&str]) {
+    pub fn add_with_store(&mut self, name: &str, store: SocketAddr, flags: &[&str]) {
         let log = log_by_setting(name);
         self.gateways.push(Gateway::start(name, store, flags, log));
     }
@@ -240,7 +240,7 @@
     }
 
     /// Waits until each gateway names all as addresses to use.
-    pub async fn wait_acquainted(&self) {
+    pub async fn wait_for_members(&self) {
         let count = self.gateways.len();
         for gateway in &self.gateways {
             until(|| async { addresses(gateway).await.len() == count }).await;
@@ -255,11 +255,11 @@
 
 /// Writes the entry of an instance that is reached at an address.
 pub fn list_at(store: &Store, service: &str, instance: &str, address: SocketAddr, state: &str) {
-    list_born(store, service, instance, address, state, None);
+    list_with_born(store, service, instance, address, state, None);
 }
 
 /// The same with the time of its start, if it tells one.
-pub fn list_born(
+pub fn list_with_born(
     store: &Store,
     service: &str,
     instance: &str,
--- a/tests/deployment/runner.rs
+++ b/tests/deployment/runner.rs
@@ -15,8 +15,8 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-use super::list_born;
-use super::server::{Body, Gone, Reply, serve_on};
+use super::list_with_born;
+use super::server::{Body, ConnectionClosed, Reply, serve_on};
 use super::store::Store;
 
 /// What a runner does with a request.
@@ -24,7 +24,7 @@
 pub enum Mode {
     /// Answers as it should.
     #[default]
-    Well,
+    Normal,
     /// Refuses, and does not run it.
     Shed,
     /// Refuses one in so many, does not run it, and asks its router for so many milliseconds of rest.
@@ -32,19 +32,19 @@
     /// Runs it and answers 500.
     Fail,
     /// Runs it and closes the connection without an answer.
-    Lose,
+    DropAnswer,
     /// Runs it and says nothing.
-    Mute,
+    Hang,
     /// Runs it and answers with another request's id.
-    Foreign,
+    WrongId,
     /// Breaks a stream off after so many events, in the middle of the next.
     Break(u32),
     /// Streams slowly: so many milliseconds between events.
     Slow(u64),
     /// Answers after so many milliseconds.
-    After(u64),
+    Delay(u64),
     /// Answers plain requests with so many bytes.
-    Long(usize),
+    LargeBody(usize),
 }
 
 /// A request that has arrived.
@@ -224,7 +224,7 @@
     }
 
     /// Has it look so when it has crashed.
-    pub fn looks_down(&self, down: Down) {
+    pub fn set_down(&self, down: Down) {
         *self.inner.down.lock().unwrap() = down;
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Says this of itself in the heads of all answers from now on.
-    pub fn say(&self, headers: &[(&'static str, &str)]) {
+    pub fn set_answer_headers(&self, headers: &[(&'static str, &str)]) {
         let headers = headers
             .iter()
             .map(|(name, value)| (*name, (*value).to_owned()));
@@ -292,7 +292,7 @@
             service,
             address,
         } = entry;
-        list_born(&store, &service, &instance, address, "ready", Some(born));
+        list_with_born(&store, &service, &instance, address, "ready", Some(born));
     }
 
     fn crash(self: &Arc<Self>, address: SocketAddr) {
@@ -338,7 +338,7 @@
     inner: Arc<Inner>,
     address: SocketAddr,
     request: hyper::Request<Incoming>,
-) -> Result<Reply, Gone> {
+) -> Result<Reply, ConnectionClosed> {
     let mut reply = answer(Arc::clone(&inner), address, request).await?;
     for (name, value) in inner.said.lock().unwrap().iter() {
         reply.headers_mut().append(*name, value.parse().unwrap());
@@ -350,9 +350,13 @@
     inner: Arc<Inner>,
     address: SocketAddr,
     request: hyper::Request<Incoming>,
-) -> Result<Reply, Gone> {
+) -> Result<Reply, ConnectionClosed> {
     let (parts, body) = request.into_parts();
-    let body = body.collect().await.map_err(|_| Gone)?.to_bytes();
+    let body = body
+        .collect()
+        .await
+        .map_err(|_| ConnectionClosed)?
+        .to_bytes();
     let instance = inner.instance.lock().unwrap().clone();
     let mode = *inner.mode.lock().unwrap();
     let expected = parts.headers.get("x-expect-instance");
@@ -417,18 +421,18 @@
             let head = head.status(StatusCode::INTERNAL_SERVER_ERROR);
             return Ok(head.body(whole("failed")).unwrap());
         }
-        Mode::Lose => return Err(Gone),
-        Mode::Mute => std::future::pending().await,
-        Mode::Foreign => {
+        Mode::DropAnswer => return Err(ConnectionClosed),
+        Mode::Hang => std::future::pending().await,
+        Mode::WrongId => {
             let head = Response::builder().header("x-attempt-id", "another");
             return Ok(head
                 .header("x-server-seal", "s")
                 .body(whole("not yours"))
                 .unwrap());
         }
-        Mode::After(millis) => tokio::time::sleep(Duration::from_millis(millis)).await,
-        Mode::Long(bytes) => return Ok(head.body(whole(&"x".repeat(bytes))).unwrap()),
-        Mode::Well | Mode::Break(_) | Mode::Slow(_) => {}
+        Mode::Delay(millis) => tokio::time::sleep(Duration::from_millis(millis)).await,
+        Mode::LargeBody(bytes) => return Ok(head.body(whole(&"x".repeat(bytes))).unwrap()),
+        Mode::Normal | Mode::Break(_) | Mode::Slow(_) => {}
     }
     if let Some(work) = work {
         tokio::time::sleep(Duration::from_millis(work.wait)).await;
@@ -494,7 +498,7 @@
             // What was sent before is on its way before the connection goes.
             tokio::time::sleep(Duration::from_millis(20)).await;
             if last > begun + after {
-                return Some((Err(Gone), (last, source)));
+                return Some((Err(ConnectionClosed), (last, source)));
             }
             if last == begun + after {
                 let half = format!("id: {number}\ndata: half");
--- a/tests/deployment/server.rs
+++ b/tests/deployment/server.rs
@@ -20,35 +20,37 @@
 
 /// The connection is closed without an answer, or in the middle of one.
 #[derive(Clone, Copy, Debug)]
-pub struct Gone;
+pub struct ConnectionClosed;
 
-impl std::fmt::Display for Gone {
+impl std::fmt::Display for ConnectionClosed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("gone")
     }
 }
 
-impl std::error::Error for Gone {}
+impl std::error::Error for ConnectionClosed {}
 
 pub enum Body {
     Whole(Full<Bytes>),
-    Stream(BoxStream<'static, Result<Bytes, Gone>>),
+    Stream(BoxStream<'static, Result<Bytes, ConnectionClosed>>),
 }
 
 impl Body {
-    pub fn stream(stream: impl Stream<Item = Result<Bytes, Gone>> + Send + 'static) -> Self {
+    pub fn stream(
+        stream: impl Stream<Item = Result<Bytes, ConnectionClosed>> + Send + 'static,
+    ) -> Self {
         Self::Stream(stream.boxed())
     }
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Gone;
+    type Error = ConnectionClosed;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Gone>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
         match self.get_mut() {
             Self::Whole(body) => Pin::new(body)
                 .poll_frame(context)
@@ -66,7 +68,7 @@
 pub async fn serve<F, A>(handler: F) -> SocketAddr
 where
     F: Fn(SocketAddr, hyper::Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Reply, Gone>> + Send + 'static,
+    A: Future<Output = Result<Reply, ConnectionClosed>> + Send + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -83,7 +85,7 @@
 ) -> JoinHandle<TcpListener>
 where
     F: Fn(SocketAddr, hyper::Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Reply, Gone>> + Send + 'static,
+    A: Future<Output = Result<Reply, ConnectionClosed>> + Send + 'static,
 {
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
--- a/tests/deployment/store.rs
+++ b/tests/deployment/store.rs
@@ -16,7 +16,7 @@
 use hyper::body::Incoming;
 use serde_json::json;
 
-use super::server::{Gone, Reply, serve};
+use super::server::{ConnectionClosed, Reply, serve};
 
 /// Topics that operators and runners write to.
 const OF_OTHERS: [&str; 2] = ["keyed.op", "keyed.servers"];
@@ -34,7 +34,7 @@
 }
 
 impl Lost {
-    fn new(parts: &HashMap<(String, u32), Part>, copy: &Copy) -> Self {
+    fn new(parts: &HashMap<(String, u32), Part>, copy: &Snapshot) -> Self {
         let mut lost = Vec::new();
         let none = Part::default();
         for topic in OF_OTHERS {
@@ -89,7 +89,7 @@
 
 /// What the store held at one moment, to come back from.
 #[derive(Clone, Default)]
-pub struct Copy(HashMap<(String, u32), Part>);
+pub struct Snapshot(HashMap<(String, u32), Part>);
 
 #[derive(Clone, Default)]
 struct Part {
@@ -160,7 +160,7 @@
     }
 
     /// Whether a call about a topic at an address was answered with 503.
-    pub fn has_turned_away(&self, address: SocketAddr, topic: &str) -> bool {
+    pub fn has_answered_503(&self, address: SocketAddr, topic: &str) -> bool {
         let turned_away = self.0.turned_away.lock().unwrap();
         let mut calls = turned_away.iter();
         calls.any(|(at, uri)| *at == address && uri.contains(topic))
@@ -189,12 +189,12 @@
     }
 
     /// Copies all that it holds.
-    pub fn copy(&self) -> Copy {
-        Copy(self.0.parts.lock().unwrap().clone())
+    pub fn snapshot(&self) -> Snapshot {
+        Snapshot(self.0.parts.lock().unwrap().clone())
     }
 
     /// Comes back from a copy: what was written since is gone, and its offsets are given out again.
-    pub fn restore(&self, copy: &Copy) -> Lost {
+    pub fn restore(&self, copy: &Snapshot) -> Lost {
         let mut parts = self.0.parts.lock().unwrap();
         let lost = Lost::new(&parts, copy);
         parts.clone_from(&copy.0);
@@ -203,7 +203,7 @@
     }
 
     /// Writes again what operators and runners had written, where they have not written since.
-    pub fn write_again(&self, lost: &Lost) {
+    pub fn rewrite(&self, lost: &Lost) {
         let mut parts = self.0.parts.lock().unwrap();
         for entry in &lost.0 {
             let part = parts.entry((entry.topic.clone(), 0)).or_default();
@@ -233,7 +233,7 @@
         &self,
         address: SocketAddr,
         request: hyper::Request<Incoming>,
-    ) -> Result<Reply, Gone> {
+    ) -> Result<Reply, ConnectionClosed> {
         let reply = self.reply(address, request).await;
         reply.map(|mut reply| {
             let era = FIRST_ERA + self.0.returns.load(Ordering::SeqCst);
@@ -246,7 +246,7 @@
         &self,
         address: SocketAddr,
         request: hyper::Request<Incoming>,
-    ) -> Result<Reply, Gone> {
+    ) -> Result<Reply, ConnectionClosed> {
         let fault = self.0.faults.lock().unwrap().get(&address).copied();
         match fault.unwrap_or_default() {
             Fault::None => Ok(self.call(request).await),
@@ -267,12 +267,16 @@
             }
             Fault::LostAnswer => {
                 self.call(request).await;
-                Err(Gone)
+                Err(ConnectionClosed)
             }
             Fault::LostGrants => {
                 let is_lost = is_about_grants(request.uri()) && request.method() == Method::POST;
                 let reply = self.call(request).await;
-                if is_lost { Err(Gone) } else { Ok(reply) }
+                if is_lost {
+                    Err(ConnectionClosed)
+                } else {
+                    Ok(reply)
+                }
             }
             Fault::Late(millis) => {
                 let store = self.clone();
@@ -284,7 +288,7 @@
                         store.act(&parts.uri, body).await;
                     }
                 });
-                Err(Gone)
+                Err(ConnectionClosed)
             }
         }
     }
--- a/tests/deployment/turns.rs
+++ b/tests/deployment/turns.rs
@@ -9,10 +9,14 @@
 /// A customer's budget that no test uses up.
 pub const PLENTY: u64 = 1_000_000_000;
 /// The header in which a request has the number of the gateway that it was sent to.
-pub const GATEWAY: &str = "x-gateway";
+pub const GATEWAY_HEADER: &str = "x-gateway";
 
 /// Runners of one service behind some gateways that all know each other.
-pub async fn fleet(gateways: usize, runners: usize, service: &str) -> (Deployment, Vec<Runner>) {
+pub async fn start_fleet(
+    gateways: usize,
+    runners: usize,
+    service: &str,
+) -> (Deployment, Vec<Runner>) {
     let count = runners;
     let mut runners = Vec::new();
     for number in 0..count {
@@ -26,7 +30,7 @@
         deployment.add(&format!("g{number}"), &[]).await;
     }
     deployment.wait_ready().await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     (deployment, runners)
 }
 
@@ -51,7 +55,7 @@
         next += gap;
         let at = asked.len() % fronts.len();
         let front = fronts[at];
-        let request = make(asked.len()).with(GATEWAY, &at.to_string());
+        let request = make(asked.len()).with(GATEWAY_HEADER, &at.to_string());
         asked.push(tokio::spawn(async move { try_ask(front, &request).await }));
     }
     let count = asked.len();
--- a/tests/evacuated_halls.rs
+++ b/tests/evacuated_halls.rs
@@ -107,7 +107,7 @@
     let deployment = Deployment::start(gateways, &config(1, LARGE_BUDGET), &[]).await;
     list_in_hall(&deployment.store, &east, "east");
     list_in_hall(&deployment.store, &west, "west");
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     for gateway in &deployment.gateways {
         until_reached(gateway.front, &east).await;
         until_reached(gateway.front, &west).await;
@@ -174,7 +174,7 @@
         assert_eq!(until_not_reached(cut.front, &east).await, 20);
         let restarted = &mut deployment.gateways[0];
         restarted.kill();
-        restarted.start_again();
+        restarted.restart();
         let front = restarted.front;
         let before = east.arrivals().len();
         tokio::time::sleep(Duration::from_millis(500)).await;
--- a/tests/gateway_faults.rs
+++ b/tests/gateway_faults.rs
@@ -30,7 +30,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn once_only() {
     let (deployment, first, second) = deployment_with_two_targets("app").await;
-    let modes = [Mode::Lose, Mode::Foreign, Mode::Fail];
+    let modes = [Mode::DropAnswer, Mode::WrongId, Mode::Fail];
     for (number, mode) in modes.into_iter().enumerate() {
         first.set(mode);
         second.set(mode);
@@ -64,7 +64,7 @@
         } else {
             (&second, &first)
         };
-        loses.set(Mode::Lose);
+        loses.set(Mode::DropAnswer);
         sheds.set(Mode::Shed);
         let before = loses.runs();
         let refused = sheds.arrivals().len();
@@ -115,8 +115,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn mute_target() {
     let (deployment, first, second) = deployment_with_two_targets("app").await;
-    first.set(Mode::Mute);
-    second.set(Mode::Mute);
+    first.set(Mode::Hang);
+    second.set(Mode::Hang);
     let request = Ask::new("r", "/once/x").with("x-deadline-ms", "300");
     let answer = ask(deployment.gateways[0].front, &request).await;
     assert_eq!(answer.status, 504, "the request may have run");
@@ -134,7 +134,7 @@
     until(|| async { first.runs() + second.runs() > 0 }).await;
     // The target with the request breaks off its stream; the other one resumes it.
     let other = if first.runs() > 0 { &second } else { &first };
-    other.set(Mode::Well);
+    other.set(Mode::Normal);
     let answer = asked.await.unwrap();
     assert!(answer.is_whole);
     assert_eq!(
--- a/tests/gateway_loans.rs
+++ b/tests/gateway_loans.rs
@@ -89,7 +89,7 @@
     let flags = ["--holders", "1"];
     let runners = [("engine", &engine)];
     let deployment = Deployment::start_with(3, &config(1, AMPLE_BUDGET), &runners, &flags).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     let mut number = 0;
     let mut served = async |gateway: usize| {
         number += 1;
@@ -122,7 +122,7 @@
     let engine = Runner::start("i-1").await;
     let runners = [("engine", &engine)];
     let deployment = Deployment::start(2, &config(1, AMPLE_BUDGET), &runners).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     let (cut, lender) = (&deployment.gateways[0], &deployment.gateways[1]);
     // The store answers one gateway about everything except grants.
     deployment.store.set_fault(cut.store, Fault::NoGrants);
@@ -164,7 +164,7 @@
             .await;
     }
     deployment.wait_ready().await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     // With a row that cannot be decoded, the store has nothing more to grant.
     let row = format!("{CUSTOMER}/g9");
     let strange = json!("the row of a later program");
--- a/tests/gateway_path.rs
+++ b/tests/gateway_path.rs
@@ -205,7 +205,7 @@
     let (mut deployment, _, _) = deployment_with_one_gateway().await;
     deployment.add("g1", &[]).await;
     deployment.wait_ready().await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     let all: Vec<String> = deployment
         .gateways
         .iter()
@@ -248,5 +248,5 @@
     deployment.wait_ready().await;
     let answer = ask(gateway.front, &Ask::new("r2", "/often/x")).await;
     assert_eq!(answer.status, 200);
-    app.set(Mode::Well);
+    app.set(Mode::Normal);
 }
--- a/tests/gateway_spend.rs
+++ b/tests/gateway_spend.rs
@@ -28,12 +28,12 @@
     let engine = Runner::start("i-1").await;
     let runners = [("engine", &engine)];
     let deployment = Deployment::start(1, &config(1, PREPAID), &runners).await;
-    engine.set(Mode::Lose);
+    engine.set(Mode::DropAnswer);
     for number in 0..12 {
         let answer = ask_until_granted(&deployment, &format!("lost{number}"), "/talk/x").await;
         assert_eq!(answer.status, 502, "nothing was delivered");
     }
-    engine.set(Mode::Well);
+    engine.set(Mode::Normal);
     for number in 0..8 {
         let answer = ask_until_granted(&deployment, &format!("well{number}"), "/talk/x").await;
         assert_eq!(answer.status, 200, "lost answers spend nothing");
--- a/tests/gateway_stop.rs
+++ b/tests/gateway_stop.rs
@@ -16,7 +16,7 @@
     let runners = [("engine", &engine)];
     let mut deployment =
         Deployment::start_with(2, &config(1, LARGE_BUDGET), &runners, &FLAGS).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     let front = deployment.gateways[0].front;
     let request = Ask::talk("s", "/talk/x", 100, 50);
     let asked = tokio::spawn(async move { ask(front, &request).await });
--- a/tests/gateway_store.rs
+++ b/tests/gateway_store.rs
@@ -73,7 +73,7 @@
     for fault in [Fault::Unavailable, Fault::Limited, Fault::Silent] {
         let app = Runner::start("i-app").await;
         let deployment = Deployment::start(3, &config(1, LARGE_BUDGET), &[("app", &app)]).await;
-        deployment.wait_acquainted().await;
+        deployment.wait_for_members().await;
         let cut = &deployment.gateways[0];
         deployment.store.set_fault(cut.store, fault);
         deployment
@@ -88,7 +88,7 @@
     let first = Runner::start("i-1").await;
     let second = Runner::start("i-2").await;
     let deployment = Deployment::start(2, &config(1, LARGE_BUDGET), &[("app", &first)]).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     let cut = &deployment.gateways[0];
     deployment.store.set_fault(cut.store, Fault::Silent);
     list(&deployment.store, "app", &second, "ready");
@@ -104,7 +104,7 @@
 async fn loan_when_cut_off() {
     let engine = Runner::start("i-e").await;
     let deployment = Deployment::start(2, &config(1, LARGE_BUDGET), &[("engine", &engine)]).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     let cut = &deployment.gateways[0];
     deployment.store.set_fault(cut.store, Fault::Unavailable);
     // The request costs more than a router is granted without demand, so it needs a loan.
@@ -190,7 +190,7 @@
         until(|| async { engine.runs() > before || pending.is_finished() }).await;
         let names: Vec<String> = deployment.gateways.iter().map(|g| g.name.clone()).collect();
         deployment.gateways.clear();
-        engine.set(Mode::Well);
+        engine.set(Mode::Normal);
         for name in names {
             deployment.add(&name, &[]).await;
         }
--- a/tests/lapsed_entries.rs
+++ b/tests/lapsed_entries.rs
@@ -14,7 +14,7 @@
     let deployment = Deployment::start(1, &config(1, LARGE_BUDGET), &[("app", app)]).await;
     let store = deployment.gateways[0].store;
     deployment.store.set_fault(store, Fault::Unavailable);
-    until(|| async { deployment.store.has_turned_away(store, TARGETS) }).await;
+    until(|| async { deployment.store.has_answered_503(store, TARGETS) }).await;
     deployment.store.put(TARGETS, &app.instance(), None);
     deployment.store.set_fault(store, Fault::None);
     deployment
--- a/tests/short_tokens.rs
+++ b/tests/short_tokens.rs
@@ -24,7 +24,7 @@
 async fn all_asked() {
     let engine = Runner::start("i-e").await;
     let deployment = Deployment::start(2, &config_with_long_wait(), &[("engine", &engine)]).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     for gateway in &deployment.gateways {
         deployment.store.set_fault(gateway.store, Fault::NoGrants);
     }
@@ -42,7 +42,7 @@
 async fn many_at_once() {
     let engine = Runner::start("i-e").await;
     let deployment = Deployment::start(2, &config_with_long_wait(), &[("engine", &engine)]).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     for gateway in &deployment.gateways {
         deployment.store.set_fault(gateway.store, Fault::NoGrants);
     }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -11,7 +11,7 @@
 };
 use crate::deployment::runner::{BACK_AFTER, Mode};
 use crate::deployment::store::Fault;
-use crate::deployment::{list_at, list_born};
+use crate::deployment::{list_at, list_with_born};
 use crate::place::GatewaySlot;
 use crate::plan::{REWRITE_MAX_MS, Rewrite, TARGETS};
 use crate::said::{NoticePeriod, TargetNotice};
@@ -85,7 +85,7 @@
 
     /// Lets the store stop answering all gateways, and restores it from an earlier copy.
     pub(super) fn restore_store(&mut self, age: u64, away: u64, again: u64) {
-        let copy = self.store.copy();
+        let copy = self.store.snapshot();
         let begun = Instant::now();
         let (store, normal) = (self.store.clone(), Fault::Slow(self.plan.store_delay_ms));
         let addresses: Vec<SocketAddr> = self.slots.iter().map(|slot| slot.store).collect();
@@ -109,7 +109,7 @@
             set(normal);
             journal.record("the store is restored from the copy");
             sleep(Duration::from_millis(again)).await;
-            store.write_again(&lost);
+            store.rewrite(&lost);
             journal.record("the lost writes are repeated");
         });
     }
@@ -156,7 +156,7 @@
                 next
             };
             let born = target.runner.born();
-            list_born(
+            list_with_born(
                 &store,
                 target.service,
                 &listed,
@@ -206,10 +206,12 @@
         let instance = target.runner.instance();
         self.journal.record(format!("{instance} sends {notice:?}"));
         match notice {
-            TargetNotice::Leaving => target.runner.say(&[("server-leaving", "1")]),
+            TargetNotice::Leaving => target.runner.set_answer_headers(&[("server-leaving", "1")]),
             TargetNotice::Limit(in_ten_seconds) => {
                 let limit = (f64::from(in_ten_seconds) / 10.0).to_string();
-                target.runner.say(&[("server-limit", &limit)]);
+                target
+                    .runner
+                    .set_answer_headers(&[("server-limit", &limit)]);
             }
             TargetNotice::Rest(one_in, millis) => target.runner.set(Mode::Rest(one_in, millis)),
         }
@@ -220,8 +222,8 @@
         self.tasks.spawn(async move {
             sleep(span).await;
             let target = &targets[number];
-            target.runner.say(&[]);
-            target.runner.set(Mode::Well);
+            target.runner.set_answer_headers(&[]);
+            target.runner.set(Mode::Normal);
             observations.lock().unwrap().notices.push(NoticePeriod {
                 instance: instance.clone(),
                 notice,
--- a/tests/soak/place.rs
+++ b/tests/soak/place.rs
@@ -55,7 +55,7 @@
     pub fn start_again(&self) {
         let log = std::fs::metadata(&self.log);
         *self.log_start.lock().unwrap() = log.map_or(0, |log| log.len() as usize);
-        self.gateway.lock().unwrap().start_again();
+        self.gateway.lock().unwrap().restart();
     }
 
     /// Sends a signal if the process is running.
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -320,9 +320,9 @@
             let mode = match rng.random_range(0..6) {
                 0 => Mode::Shed,
                 1 => Mode::Fail,
-                2 => Mode::Lose,
-                3 => Mode::Mute,
-                4 => Mode::Foreign,
+                2 => Mode::DropAnswer,
+                3 => Mode::Hang,
+                4 => Mode::WrongId,
                 _ => Mode::Break(rng.random_range(0..4)),
             };
             Step::Target(target, mode, span)
--- a/tests/soak/run.rs
+++ b/tests/soak/run.rs
@@ -12,7 +12,7 @@
 use crate::caller::{Caller, Shared};
 use crate::deployment::runner::{Arrival, Mode, Runner};
 use crate::deployment::store::{Fault, Store};
-use crate::deployment::{Deployment, LONG, list_at, list_born};
+use crate::deployment::{Deployment, LONG, list_at, list_with_born};
 use crate::operator::Config;
 use crate::place::GatewaySlot;
 use crate::plan::{Change, Departure, Kind, Plan, Step, TARGETS, TOP_UP_TOKENS};
@@ -154,7 +154,7 @@
             deployment.add_logged(&name, &flags, Some(log)).await;
         }
         deployment.wait_ready().await;
-        deployment.wait_acquainted().await;
+        deployment.wait_for_members().await;
         for gateway in &deployment.gateways {
             store.set_fault(gateway.store, Fault::Slow(plan.store_delay_ms));
         }
@@ -221,7 +221,7 @@
             Step::Target(number, mode, span) => {
                 let target = Arc::clone(&self.targets);
                 self.during(span, format!("target {number}: {mode:?}"), move |is_on| {
-                    let mode = if is_on { mode } else { Mode::Well };
+                    let mode = if is_on { mode } else { Mode::Normal };
                     target[number].runner.set(mode);
                 });
             }
@@ -303,7 +303,7 @@
             let target = &targets[number];
             if notice == Departure::Draining {
                 let born = target.runner.born();
-                list_born(
+                list_with_born(
                     &store,
                     target.service,
                     &instance,
--- a/tests/stop_arrivals.rs
+++ b/tests/stop_arrivals.rs
@@ -28,7 +28,7 @@
 const PREPAID_TOKENS: u64 = 1_000_000;
 const FLAGS: [&str; 4] = ["--keep", "200", "--grace", "20000"];
 /// Longer than the time for giving grants back, so that no request that arrives meanwhile can finish in time by chance.
-const SLOW_RESPONSE: Mode = Mode::After(700);
+const SLOW_RESPONSE: Mode = Mode::Delay(700);
 /// The default fleet key.
 const FLEET_KEY: &str = "lanedeck-fleet";
 /// Number of requests; at [`REQUEST_INTERVAL`] they span a stop.
@@ -108,7 +108,7 @@
 async fn stop_by_slow_reader() {
     const BYTES: usize = 7 << 20;
     let app = Runner::start("i-app").await;
-    app.set(Mode::Long(BYTES));
+    app.set(Mode::LargeBody(BYTES));
     let runners = [("app", &app)];
     let mut deployment =
         Deployment::start_with(1, &config(1, PREPAID_TOKENS), &runners, &FLAGS).await;
@@ -142,7 +142,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn stop_gives_up() {
     let app = Runner::start("i-app").await;
-    app.set(Mode::Mute);
+    app.set(Mode::Hang);
     let flags = ["--keep", "200", "--grace", "2000"];
     let runners = [("app", &app)];
     let mut deployment =
--- a/tests/stop_gaps.rs
+++ b/tests/stop_gaps.rs
@@ -267,7 +267,7 @@
 /// below the configured `limit`, are refused before they have been read in full. The status is 0 without an answer.
 async fn refused_bodies(len: usize, limit: usize) -> [u16; 20] {
     let app = Runner::start("i-app").await;
-    app.set(Mode::Mute);
+    app.set(Mode::Hang);
     let mut config = config(1, LARGE_BUDGET);
     config["limits"]["maxBodyBytes"] = limit.into();
     let flags = ["--keep", "200", "--grace", "6000"];
@@ -369,7 +369,7 @@
     async fn forward(
         &self,
         request: hyper::Request<Incoming>,
-    ) -> Result<server::Reply, server::Gone> {
+    ) -> Result<server::Reply, server::ConnectionClosed> {
         let query = request.uri().query().unwrap_or_default().to_owned();
         let is_for =
             |partition: &str| query.contains("topic=keyed.prepaid") && query.contains(partition);
@@ -390,7 +390,11 @@
             std::future::pending::<()>().await;
         }
         let (parts, body) = request.into_parts();
-        let body = body.collect().await.map_err(|_| server::Gone)?.to_bytes();
+        let body = body
+            .collect()
+            .await
+            .map_err(|_| server::ConnectionClosed)?
+            .to_bytes();
         let mut connection = net::open(self.store, LONG, LONG).await.unwrap();
         let request = http::Request::from_parts(parts, Full::new(body));
         let (parts, body) = connection.send(request).await.unwrap().into_parts();
@@ -438,7 +442,7 @@
     })
     .await;
     let flags = ["--keep", "100", "--grace", "20000", "--partitions", "2"];
-    deployment.add_at("g0", address, &flags);
+    deployment.add_with_store("g0", address, &flags);
     deployment.wait_ready().await;
     until(|| async { row(store, first).await.is_some() && row(store, &second).await.is_some() })
         .await;
--- a/tests/store_restored.rs
+++ b/tests/store_restored.rs
@@ -87,7 +87,7 @@
     until(|| stream(gateway.front)).await;
     // Some streams are in progress at any time.
     engine.set(Mode::Slow(100));
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     load(gateway, RENEWAL).await;
     deployment.store.set_fault(gateway.store, Fault::LostGrants);
     let restored = async {
@@ -111,7 +111,7 @@
 async fn offset_given_again() {
     let app = Runner::start("i-app").await;
     let deployment = Deployment::start(3, &config(1, AMPLE_BUDGET), &[("app", &app)]).await;
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     deployment
         .store
         .put("keyed.op", "config", Some(&with_route(2, "/new/")));
@@ -158,11 +158,11 @@
     let runners = [("engine", &engine)];
     let flags = ["--partitions", "1", "--copy-age", "4000"];
     let mut deployment = Deployment::start_with(3, &config(1, PREPAID), &runners, &flags).await;
-    deployment.wait_acquainted().await;
+    deployment.wait_for_members().await;
     // Tokens of the first rows can be spent once every copy has those rows.
     until(|| stream(deployment.gateways[0].front)).await;
     spend(&deployment, 15).await;
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     for _ in 0..90 {
         stream(deployment.gateways[0].front).await;
     }
@@ -176,7 +176,7 @@
     };
     for gateway in &mut deployment.gateways[..killed] {
         gateway.kill();
-        gateway.start_again();
+        gateway.restart();
     }
     deployment.store.restore(&copy);
     for gateway in &deployment.gateways {
@@ -257,7 +257,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn leaving_target_ready_in_copy() {
     let (deployment, leaving, other) = two_runners().await;
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     list(&deployment.store, "app", &leaving, "draining");
     sleep(READ_ANEW).await;
     deployment.store.restore(&copy);
@@ -277,7 +277,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn gone_target_in_copy() {
     let (deployment, gone, other) = two_runners().await;
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     deployment
         .store
         .put("keyed.servers", &gone.instance(), None);
@@ -294,7 +294,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn target_copy_lacks() {
     let deployment = Deployment::start(3, &config(1, AMPLE_BUDGET), &[]).await;
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     let only = Runner::start("i-1").await;
     list(&deployment.store, "app", &only, "ready");
     until_used(&deployment, &only).await;
@@ -314,7 +314,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn evacuated_hall_not_in_copy() {
     let (deployment, first, second) = two_runners().await;
-    let copy = deployment.store.copy();
+    let copy = deployment.store.snapshot();
     let evacuate = || {
         let state = json!({});
         deployment
--- a/tests/target_leaving.rs
+++ b/tests/target_leaving.rs
@@ -23,14 +23,14 @@
 /// Checks that a leaving target whose entry is not updated gets no late requests from any router, and that all requests
 /// are served.
 async fn check_leaving(service: &str, request: fn(usize) -> Ask) {
-    let (deployment, runners) = turns::fleet(3, TARGETS, service).await;
+    let (deployment, runners) = turns::start_fleet(3, TARGETS, service).await;
     let begun = Instant::now();
     let leaves = begun + LEAVES_AFTER;
     let end = leaves + SERVES_FOR;
     let fronts = turns::fronts(&deployment);
     let callers = tokio::spawn(turns::ask_in_turn(fronts, GAP, end, request));
     tokio::time::sleep_until(leaves.into()).await;
-    runners[0].say(&[("server-leaving", "1")]);
+    runners[0].set_answer_headers(&[("server-leaving", "1")]);
     let (asked, served) = callers.await.unwrap();
     let late = count_late(&runners[0], leaves + KNOWN_BY);
     println!("{late} late; served {served} of {asked}");
@@ -66,9 +66,9 @@
 /// Announcements seen by one router appear in the metrics of all.
 #[tokio::test(flavor = "multi_thread")]
 async fn operators_see() {
-    let (deployment, runners) = turns::fleet(3, TARGETS, "app").await;
+    let (deployment, runners) = turns::start_fleet(3, TARGETS, "app").await;
     for runner in &runners {
-        runner.say(&[("server-leaving", "1"), ("server-limit", "1.8")]);
+        runner.set_answer_headers(&[("server-leaving", "1"), ("server-limit", "1.8")]);
     }
     let answer = ask(deployment.gateways[0].front, &Ask::new("r1", "/often/x")).await;
     assert_eq!(answer.status, 200);
@@ -90,9 +90,9 @@
 /// If all targets leave, requests are refused at once, and have not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn all_leave() {
-    let (deployment, runners) = turns::fleet(1, TARGETS, "app").await;
+    let (deployment, runners) = turns::start_fleet(1, TARGETS, "app").await;
     for runner in &runners {
-        runner.say(&[("server-leaving", "1")]);
+        runner.set_answer_headers(&[("server-leaving", "1")]);
     }
     let front = deployment.gateways[0].front;
     for number in 0..3 {
--- a/tests/target_limits.rs
+++ b/tests/target_limits.rs
@@ -65,7 +65,7 @@
         Fault::None => {}
         Fault::Kill => {
             gateway.kill();
-            gateway.start_again();
+            gateway.restart();
         }
         Fault::Pause => {
             gateway.signal("STOP");
@@ -77,7 +77,7 @@
 
 /// Checks that the limit announced by one of three targets is kept, and that the target is used again afterwards.
 async fn check_limit(limit: f64, routers: usize, fault: Fault) {
-    let (mut deployment, runners) = turns::fleet(routers, TARGETS, "app").await;
+    let (mut deployment, runners) = turns::start_fleet(routers, TARGETS, "app").await;
     let fronts = turns::fronts(&deployment);
     let begun = Instant::now();
     let limit_from = begun + LIMIT_AFTER;
@@ -85,11 +85,11 @@
     let after = ended + KNOWN_BY;
     let callers = tokio::spawn(turns::ask_in_turn(fronts, GAP, after, request));
     tokio::time::sleep_until(limit_from.into()).await;
-    runners[0].say(&[("server-limit", &limit.to_string())]);
+    runners[0].set_answer_headers(&[("server-limit", &limit.to_string())]);
     tokio::time::sleep_until((limit_from + KNOWN_BY * 2).into()).await;
     inject(&mut deployment, fault).await;
     tokio::time::sleep_until(ended.into()).await;
-    runners[0].say(&[]);
+    runners[0].set_answer_headers(&[]);
     let (asked, served) = callers.await.unwrap();
     let arrivals = arrivals(&runners[0]);
     let got = max_in_span(&arrivals, limit_from + KNOWN_BY, ended - SPAN);
--- a/tests/target_rest.rs
+++ b/tests/target_rest.rs
@@ -11,7 +11,7 @@
 
 use deployment::Ask;
 use deployment::runner::{Arrival, Mode, Runner};
-use deployment::turns::{self, GATEWAY};
+use deployment::turns::{self, GATEWAY_HEADER};
 
 const TARGETS: usize = 3;
 /// Time between two requests, which are sent to the routers in turn.
@@ -46,7 +46,7 @@
         let until = asked.at + backoff;
         let same = arrivals
             .iter()
-            .filter(|arrival| arrival.header(GATEWAY) == asked.header(GATEWAY));
+            .filter(|arrival| arrival.header(GATEWAY_HEADER) == asked.header(GATEWAY_HEADER));
         same.filter(|arrival| arrival.at > from && arrival.at < until)
             .count()
     };
@@ -64,7 +64,7 @@
 }
 
 async fn check_backoff(scenario: Scenario) {
-    let (deployment, runners) = turns::fleet(3, TARGETS, "app").await;
+    let (deployment, runners) = turns::start_fleet(3, TARGETS, "app").await;
     let begun = Instant::now();
     let backoff_from = begun + BACKOFF_AFTER;
     let recovered = backoff_from + BACKOFF_FOR;
@@ -82,7 +82,7 @@
         .iter()
         .for_each(|runner| runner.set(mode));
     tokio::time::sleep_until(recovered.into()).await;
-    runners.iter().for_each(|runner| runner.set(Mode::Well));
+    runners.iter().for_each(|runner| runner.set(Mode::Normal));
     let (asked, served) = callers.await.unwrap();
     let max_requests = runners
         .iter()
--- a/tests/target_return.rs
+++ b/tests/target_return.rs
@@ -183,7 +183,7 @@
     deployment.add("g0", &[]).await;
     deployment.wait_ready().await;
     let front = deployment.gateways[0].front;
-    first.set(Mode::Mute);
+    first.set(Mode::Hang);
     let long = Ask::new("r1", "/often/x").with("x-deadline-ms", "60000");
     let asked = tokio::spawn(async move { ask(front, &long).await });
     let once = Ask::new("r2", "/once/x")
@@ -192,7 +192,7 @@
     let once_task = tokio::spawn(async move { ask(front, &once).await });
     until(|| async { first.runs() == 2 }).await;
     // The first two requests get no response; later ones do.
-    first.set(Mode::Well);
+    first.set(Mode::Normal);
     second.list_in(&deployment.store, "app");
     until(|| async {
         ask(front, &Ask::new("r3", "/often/x")).await;
--- a/tests/without_store.rs
+++ b/tests/without_store.rs
@@ -55,7 +55,7 @@
     deployment
         .store
         .set_fault(gateway.store, Fault::Unavailable);
-    until(|| async { deployment.store.has_turned_away(gateway.store, TARGETS) }).await;
+    until(|| async { deployment.store.has_answered_503(gateway.store, TARGETS) }).await;
     let runs = leaving.runs();
     for number in 0..40 {
         let answer = send(format!("during{number}")).await;
