--- a/tests/common/world/script.rs
+++ b/tests/common/world/script.rs
@@ -7,7 +7,7 @@
 
 impl World {
     /// Lets time pass.
-    pub fn pass(&mut self, span: u64) {
+    pub fn advance(&mut self, span: u64) {
         let until = self.now + span;
         while let Some(Reverse((at, key))) = self.queue.peek().copied()
             && at <= until
@@ -34,12 +34,12 @@
     }
 
     /// Lets time pass until a target has a request.
-    pub fn pass_until_dispatched(&mut self, id: Id) {
+    pub fn advance_until_dispatched(&mut self, id: Id) {
         for _ in 0..1_000 {
             if self.ran_at.contains_key(&id) {
                 return;
             }
-            self.pass(5);
+            self.advance(5);
         }
         panic!("{id} is not dispatched");
     }
--- a/tests/witness_change.rs
+++ b/tests/witness_change.rs
@@ -21,14 +21,14 @@
 /// the budget must be billed once that request is settled.
 fn fleet_with_request(seed: u64) -> (World, Tokens) {
     let mut world = World::quiet(seed);
-    world.pass(4_000);
+    world.advance(4_000);
     for node in 0..NODES {
         world.call(node, 0);
     }
-    world.pass(6_000);
+    world.advance(6_000);
     let before = world.budget(HOLDER, 0).billed();
     let id = world.call(HOLDER, 0);
-    world.pass_until_dispatched(id);
+    world.advance_until_dispatched(id);
     let after = before + world.cost_of(id);
     (world, after)
 }
@@ -54,10 +54,10 @@
             let witness = world.witness_of(HOLDER, 0);
             let before = world.state(witness).incarnation();
             world.freeze(witness, frozen);
-            world.pass(later);
+            world.advance(later);
             // The request may have ended by itself meanwhile; its bill is the same.
             world.kill(HOLDER);
-            world.pass(frozen + 20_000);
+            world.advance(frozen + 20_000);
             // If each is the other's witness, no router closes this one.
             closed_witnesses += usize::from(world.state(witness).incarnation() != before);
             let case = format!("seed {seed}, frozen for {frozen} ms, killed {later} ms later");
@@ -80,10 +80,10 @@
             let gone = world.state(HOLDER).incarnation();
             let witness = world.witness_of(HOLDER, 0);
             world.stop(witness);
-            world.pass(later);
+            world.advance(later);
             // The request may have ended by itself meanwhile; its bill is the same.
             world.kill(HOLDER);
-            world.pass(30_000);
+            world.advance(30_000);
             let case = format!("seed {seed}, killed {later} ms after the stop");
             found.extend(unsettled(&world, gone, billed, &case));
         }
