--- a/tests/deployment/mod.rs
+++ b/tests/deployment/mod.rs
@@ -1,4 +1,4 @@
-//! A deployment on loopback: the platform's stand-ins in this process, and gateways as processes.
+//! A test deployment on loopback: platform stand-ins in this process, gateways as child processes.
 #![allow(dead_code, missing_docs)]
 
 pub mod runner;
@@ -22,7 +22,7 @@
 use runner::Runner;
 use store::Store;
 
-/// Waits that end a test which would otherwise hang.
+/// Upper bound on waits, so that a test fails instead of hanging.
 pub const LONG: Duration = Duration::from_secs(30);
 pub const KEY: &str = "key-of-anna";
 pub const CUSTOMER: &str = "anna";
@@ -32,7 +32,7 @@
 pub struct Gateway {
     child: Child,
     flags: Vec<String>,
-    /// The file that its log lines are added to.
+    /// File that its log lines are appended to.
     log: Option<PathBuf>,
     pub name: String,
     pub front: SocketAddr,
@@ -49,19 +49,19 @@
     }
 }
 
-/// Held while addresses are tried and while a process is started: a process that another thread
-/// starts has all open sockets until it runs its own program, and keeps a tried address in use.
-static START: Mutex<()> = Mutex::new(());
+/// Held while ports are probed and while a process is spawned: a child inherits all open sockets until
+/// `exec`, so a spawn in another thread would keep a probed port in use.
+static START_LOCK: Mutex<()> = Mutex::new(());
 
-/// An address that nobody listens on, outside of the ports that the system gives to connections,
-/// so that none takes it before the gateway does.
+/// Returns a free address outside the ephemeral port range, so that no outgoing connection takes it
+/// before the gateway binds it.
 pub fn free_address() -> SocketAddr {
     const FIRST: u32 = 10_000;
     const COUNT: u32 = 20_000;
-    const OF_PROCESS: u32 = 97;
+    const STEP_PER_PROCESS: u32 = 97;
     static NEXT: AtomicU32 = AtomicU32::new(0);
     loop {
-        let begin = std::process::id().wrapping_mul(OF_PROCESS);
+        let begin = std::process::id().wrapping_mul(STEP_PER_PROCESS);
         let number = begin.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed)) % COUNT;
         let port = u16::try_from(FIRST + number).unwrap();
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The flags that give a gateway its addresses and the store's.
+/// Flags with the gateway's own addresses and the store's.
 pub fn address_flags(
     [front, ready, directory, link, metrics, store]: [SocketAddr; 6],
 ) -> Vec<String> {
@@ -86,7 +86,7 @@
     flags.concat()
 }
 
-/// Starts the binary; its log goes to the end of a file, or nowhere.
+/// Spawns the binary; its log is appended to a file or discarded.
 fn spawn(flags: &[String], log: Option<&PathBuf>) -> Child {
     let mut command = Command::new(env!("CARGO_BIN_EXE_lanedeck"));
     for (name, _) in std::env::vars().filter(|(name, _)| name.starts_with("LANEDECK_")) {
@@ -102,8 +102,8 @@
     command.spawn().expect("the binary starts")
 }
 
-/// Where a gateway's log goes by `LANEDECK_TEST_LOGS`.
-fn log_by_setting(name: &str) -> Option<PathBuf> {
+/// Path of a gateway's log in the folder that `LANEDECK_TEST_LOGS` names, if it is set.
+fn log_path_from_env(name: &str) -> Option<PathBuf> {
     let folder = std::env::var_os("LANEDECK_TEST_LOGS")?;
     let file = format!("{name}-{}.log", rand::random::<u32>());
     Some(PathBuf::from(folder).join(file))
@@ -111,7 +111,7 @@
 
 impl Gateway {
     fn start(name: &str, store: SocketAddr, flags: &[&str], log: Option<PathBuf>) -> Self {
-        let starting = START.lock().unwrap_or_else(PoisonError::into_inner);
+        let starting = START_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
         let [front, ready, directory, link, metrics] = std::array::from_fn(|_| free_address());
         let places = [front, ready, directory, link, metrics, store];
         let mut all = ["gateway", "--name", name, "--heartbeat", "200"]
@@ -135,10 +135,10 @@
         }
     }
 
-    /// Starts the next process under the same name and addresses, once the last one has ended.
+    /// Starts a new process with the same name and addresses; the previous one must have ended.
     pub fn restart(&mut self) {
-        assert!(self.has_ended(), "one process at a time has a name");
-        let _starting = START.lock().unwrap_or_else(PoisonError::into_inner);
+        assert!(self.has_ended(), "the previous process has ended");
+        let _starting = START_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
         self.child = spawn(&self.flags, self.log.as_ref());
     }
 
@@ -153,7 +153,7 @@
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        let _starting = START.lock().unwrap_or_else(PoisonError::into_inner);
+        let _starting = START_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
         let status = Command::new("kill")
             .args([&format!("-{name}"), &pid])
             .status();
@@ -172,19 +172,19 @@
     }
 }
 
-/// A deployment.
+/// A store with gateways.
 pub struct Deployment {
     pub store: Store,
     pub gateways: Vec<Gateway>,
 }
 
 impl Deployment {
-    /// Gateways with a configuration and these runners, all ready.
+    /// Starts gateways with a configuration and the given runners, and waits until all are ready.
     pub async fn start(count: usize, config: &Value, runners: &[(&str, &Runner)]) -> Self {
         Self::start_with(count, config, runners, &[]).await
     }
 
-    /// The same with more flags.
+    /// Like `start`, with additional gateway flags.
     pub async fn start_with(
         count: usize,
         config: &Value,
@@ -208,19 +208,19 @@
     }
 
     pub async fn add(&mut self, name: &str, flags: &[&str]) {
-        self.add_logged(name, flags, log_by_setting(name)).await;
+        self.add_logged(name, flags, log_path_from_env(name)).await;
     }
 
-    /// The same with a file for its log.
+    /// Like `add`, with a log file.
     pub async fn add_logged(&mut self, name: &str, flags: &[&str], log: Option<PathBuf>) {
         let address = self.store.open().await;
         self.gateways
             .push(Gateway::start(name, address, flags, log));
     }
 
-    /// Adds a gateway whose store is somewhere else.
+    /// Adds a gateway that reaches its store at another address.
     pub fn add_with_store(&mut self, name: &str, store: SocketAddr, flags: &[&str]) {
-        let log = log_by_setting(name);
+        let log = log_path_from_env(name);
         self.gateways.push(Gateway::start(name, store, flags, log));
     }
 
@@ -239,7 +239,7 @@
         }
     }
 
-    /// Waits until each gateway names all as addresses to use.
+    /// Waits until each gateway lists all gateways as addresses for callers.
     pub async fn wait_for_members(&self) {
         let count = self.gateways.len();
         for gateway in &self.gateways {
@@ -248,17 +248,17 @@
     }
 }
 
-/// Writes a runner's entry.
+/// Writes a runner's entry to the list of targets.
 pub fn list(store: &Store, service: &str, runner: &Runner, state: &str) {
     list_at(store, service, &runner.instance(), runner.address, state);
 }
 
-/// Writes the entry of an instance that is reached at an address.
+/// Writes the entry of an instance with the given address.
 pub fn list_at(store: &Store, service: &str, instance: &str, address: SocketAddr, state: &str) {
     list_with_born(store, service, instance, address, state, None);
 }
 
-/// The same with the time of its start, if it tells one.
+/// Like `list_at`, with the instance's start time, if its entry has one.
 pub fn list_with_born(
     store: &Store,
     service: &str,
@@ -277,7 +277,7 @@
     store.put("keyed.servers", instance, Some(&entry));
 }
 
-/// The addresses that a gateway tells callers to use.
+/// Addresses that a gateway's directory gives to callers.
 pub async fn addresses(gateway: &Gateway) -> Vec<String> {
     let ask = Ask::get("/api/resolve?name=shop.example&region=r&zone=hall");
     let Some(answer) = try_ask(gateway.directory, &ask).await else {
@@ -291,7 +291,7 @@
         .collect()
 }
 
-/// A configuration: plain routes below /once/ and /often/, streams below /talk/ and /resume/.
+/// A configuration with plain routes under /once/ and /often/, and streaming routes under /talk/ and /resume/.
 pub fn config(version: u64, prepaid: u64) -> Value {
     let route = |name: &str, prefix: &str, kind: &str, service: &str, attempts: u32| {
         json!({
@@ -319,20 +319,20 @@
     })
 }
 
-/// The same without the customer's key.
+/// Like `config`, without the customer's key.
 pub fn config_without_key(version: u64, prepaid: u64) -> Value {
     let mut config = config(version, prepaid);
     config["tenants"] = json!([{ "name": CUSTOMER, "apiKeys": ["another"], "prepaid": prepaid }]);
     config
 }
 
-/// The status of a request with an id of its own, if it is answered.
+/// Sends a request with a random id and returns its status, if it is answered.
 pub async fn status_of(front: SocketAddr, path: &str) -> Option<u16> {
     let ask = Ask::new(&format!("r{}", rand::random::<u64>()), path);
     try_ask(front, &ask).await.map(|answer| answer.status)
 }
 
-/// Asks a gateway for a plain route until a request reaches a runner.
+/// Sends requests for a plain route to a gateway until one reaches the runner.
 pub async fn until_reached(front: SocketAddr, runner: &Runner) {
     let before = runner.arrivals().len();
     until(|| async {
@@ -342,7 +342,7 @@
     .await;
 }
 
-/// A request of a client.
+/// A client request.
 #[derive(Clone, Debug)]
 pub struct Ask {
     pub method: Method,
@@ -361,7 +361,7 @@
         }
     }
 
-    /// A proper request with an id, a key and a deadline.
+    /// A valid request with an id, a key and a deadline.
     pub fn new(id: &str, path: &str) -> Self {
         Self::get(path)
             .with("host", HOST)
@@ -370,7 +370,7 @@
             .with("authorization", &format!("Bearer {KEY}"))
     }
 
-    /// A proper model request.
+    /// A valid request to a model engine.
     pub fn talk(id: &str, path: &str, tokens: u64, most: u64) -> Self {
         Self::new(id, path)
             .with("x-model", "m")
@@ -387,7 +387,7 @@
         self
     }
 
-    /// One more value of a header.
+    /// Appends another value of a header.
     pub fn also(mut self, name: &'static str, value: &str) -> Self {
         self.headers.append(name, value.parse().unwrap());
         self
@@ -405,13 +405,13 @@
     }
 }
 
-/// What a client got.
+/// An answer as the client received it.
 #[derive(Clone, Debug)]
 pub struct Answer {
     pub status: u16,
     pub headers: HeaderMap,
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was received to its end.
     pub is_whole: bool,
 }
 
@@ -422,7 +422,7 @@
             .map_or("", |value| value.to_str().unwrap())
     }
 
-    /// Numbers of the events, in order.
+    /// Ids of the events, in order.
     pub fn events(&self) -> Vec<u32> {
         let lines = self
             .body
@@ -432,13 +432,13 @@
     }
 }
 
-/// Asks on a new connection; `None` where it ends without an answer.
+/// Sends a request on a new connection; `None` if it closes without an answer.
 pub async fn try_ask(address: SocketAddr, ask: &Ask) -> Option<Answer> {
     let mut line = net::open(address, LONG, LONG).await.ok()?;
     ask_on(&mut line, ask).await
 }
 
-/// Asks on an open connection; `None` where it ends without an answer.
+/// Sends a request on an open connection; `None` if it closes without an answer.
 pub async fn ask_on(line: &mut net::Connection, ask: &Ask) -> Option<Answer> {
     let mut request = http::Request::new(Full::new(ask.body.clone()));
     *request.method_mut() = ask.method.clone();
@@ -469,12 +469,12 @@
     })
 }
 
-/// Asks on a new connection.
+/// Sends a request on a new connection; panics without an answer.
 pub async fn ask(address: SocketAddr, ask: &Ask) -> Answer {
     try_ask(address, ask).await.expect("an answer")
 }
 
-/// Waits until something holds.
+/// Polls until a condition holds; panics after `LONG`.
 pub async fn until<F, A>(mut holds: F)
 where
     F: FnMut() -> A,
@@ -482,7 +482,7 @@
 {
     let end = Instant::now() + LONG;
     while !holds().await {
-        assert!(Instant::now() < end, "what is waited for comes in time");
+        assert!(Instant::now() < end, "condition does not hold in time");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/deployment/runner.rs
+++ b/tests/deployment/runner.rs
@@ -1,5 +1,5 @@
-//! A stand-in of the platform's runners, plain and model engines: ids, signatures, instances, load,
-//! refusals and streams, with faults on demand.
+//! Stand-in for the platform's runners (plain services and model engines): request ids, signatures,
+//! instance checks, load, refusals and streams, with configurable faults.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -19,35 +19,35 @@
 use super::server::{Body, ConnectionClosed, Reply, serve_on};
 use super::store::Store;
 
-/// What a runner does with a request.
+/// How a runner handles requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Answers as it should.
+    /// Answers correctly.
     #[default]
     Normal,
-    /// Refuses, and does not run it.
+    /// Refuses the request without running it.
     Shed,
-    /// Refuses one in so many, does not run it, and asks its router for so many milliseconds of rest.
+    /// Refuses one in `.0` requests without running it, with a `Retry-After` of `.1` milliseconds.
     Rest(u32, u64),
-    /// Runs it and answers 500.
+    /// Runs the request and answers 500.
     Fail,
-    /// Runs it and closes the connection without an answer.
+    /// Runs the request and closes the connection without an answer.
     DropAnswer,
-    /// Runs it and says nothing.
+    /// Runs the request and never answers.
     Hang,
-    /// Runs it and answers with another request's id.
+    /// Runs the request and answers with another request's id.
     WrongId,
-    /// Breaks a stream off after so many events, in the middle of the next.
+    /// Closes a stream after this many events, in the middle of the next.
     Break(u32),
-    /// Streams slowly: so many milliseconds between events.
+    /// Streams with this many milliseconds between events.
     Slow(u64),
-    /// Answers after so many milliseconds.
+    /// Answers after this many milliseconds.
     Delay(u64),
-    /// Answers plain requests with so many bytes.
+    /// Answers plain requests with a body of this many bytes.
     LargeBody(usize),
 }
 
-/// A request that has arrived.
+/// A request that a runner received.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub method: String,
@@ -55,11 +55,11 @@
     pub headers: HeaderMap,
     pub body: Bytes,
     pub ran: bool,
-    /// When it was read.
+    /// When it was received in full.
     pub at: Instant,
-    /// Events of its stream that were handed out so far.
+    /// Events of its stream produced so far.
     pub handed_out: Arc<AtomicU32>,
-    /// The instance that it reached.
+    /// Instance that received it.
     pub instance: String,
 }
 
@@ -71,17 +71,17 @@
     }
 }
 
-/// What a request asks of the runner that serves it well; requests that are checked against their
-/// answers carry it.
+/// How a runner in normal mode answers a request, given in the request's `x-work` header so that the
+/// caller can check the answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Time before the answer begins, in milliseconds.
+    /// Delay before the answer begins, in milliseconds.
     pub wait: u64,
-    /// Filler of a plain answer, in bytes.
+    /// Padding of a plain answer, in bytes.
     pub filler: usize,
-    /// Events of a stream.
+    /// Number of events in a stream.
     pub events: u32,
-    /// Time before each event, in milliseconds.
+    /// Delay before each event, in milliseconds.
     pub gap: u64,
 }
 
@@ -105,68 +105,68 @@
         })
     }
 
-    /// The plain answer to a request, but for the instance that gives it.
+    /// Body of the plain answer that an instance gives to a request.
     pub fn plain(&self, id: &str, instance: &str, body: &[u8]) -> String {
         let sum = xxhash_rust::xxh3::xxh3_64(body);
         let filler = "x".repeat(self.filler);
         format!("answer to {id} of {instance} for {sum:x} {filler}")
     }
 
-    /// One event of the stream that answers a request.
+    /// One event of the stream that answers a request, in wire format.
     pub fn event(id: &str, number: u32) -> String {
         format!("id: {number}\ndata: piece {number} for {id}\n\n")
     }
 }
 
-/// Events of a whole stream.
+/// Number of events in a complete stream of a request without `Work`.
 pub const EVENTS: u32 = 6;
 
-/// What a body or a path has in it that makes a runner crash by which it is run.
+/// A runner that runs a request with this text in its body or path crashes.
 pub const CRASHING: &str = "crashing";
-/// How long a runner runs such a request before it crashes.
+/// How long a runner runs a crashing request before it crashes.
 const CRASH_AFTER: Duration = Duration::from_millis(30);
-/// How long after a crash a runner is back.
+/// Time from a crash until the runner restarts.
 pub const BACK_AFTER: Duration = Duration::from_millis(1_500);
 
-/// What others see of a runner that has crashed, until it is back.
+/// What clients see of a crashed runner until it restarts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Down {
-    /// Nobody listens at its port, and its entry stays.
+    /// Its port is closed; its entry stays listed.
     #[default]
     Closed,
-    /// A supervisor holds its port and closes what it accepts; its entry stays.
+    /// A supervisor keeps its port open and closes accepted connections; its entry stays listed.
     Open,
-    /// The same, and its entry goes.
+    /// Like `Open`, but its entry is removed.
     OpenUnlisted,
 }
 
-/// A runner's entry in the list of targets, which it writes anew at each start.
+/// A runner's entry in the list of targets, rewritten at each start.
 #[derive(Clone)]
 struct Entry {
     store: Store,
     service: String,
-    /// Where others reach it.
+    /// Address where clients reach it.
     address: SocketAddr,
 }
 
 struct Inner {
-    /// Ends with the process: each start has another.
-    life: Mutex<CancellationToken>,
-    /// What others see of it while it is down.
+    /// Cancelled when the simulated process ends; each start creates a new token.
+    process_end: Mutex<CancellationToken>,
+    /// What clients see after a crash.
     down: Mutex<Down>,
-    /// The task that has its listener.
+    /// Accept loop, which returns its listener.
     serving: Mutex<Option<JoinHandle<TcpListener>>>,
-    /// When it crashed.
+    /// Times of its crashes.
     crashes: Mutex<Vec<Instant>>,
     entry: Mutex<Option<Entry>>,
-    /// When it started, in milliseconds since 1970, where its entry tells it.
+    /// Start time in milliseconds since the Unix epoch, if its entry has one.
     born: Mutex<Option<u64>>,
     instance: Mutex<String>,
     mode: Mutex<Mode>,
-    /// Headers that each of its answers has.
-    said: Mutex<Vec<(&'static str, String)>>,
-    /// Requests that were counted to refuse one in some.
-    counted: AtomicU32,
+    /// Headers added to each of its answers.
+    answer_headers: Mutex<Vec<(&'static str, String)>>,
+    /// Requests counted by `Mode::Rest`.
+    rest_count: AtomicU32,
     arrivals: Mutex<Vec<Arrival>>,
 }
 
@@ -180,7 +180,7 @@
 impl Runner {
     pub async fn start(instance: &str) -> Self {
         let inner = Arc::new(Inner {
-            life: Mutex::default(),
+            process_end: Mutex::default(),
             down: Mutex::default(),
             serving: Mutex::default(),
             crashes: Mutex::default(),
@@ -188,8 +188,8 @@
             born: Mutex::default(),
             instance: Mutex::new(instance.to_owned()),
             mode: Mutex::default(),
-            said: Mutex::default(),
-            counted: AtomicU32::default(),
+            answer_headers: Mutex::default(),
+            rest_count: AtomicU32::default(),
             arrivals: Mutex::default(),
         });
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -198,13 +198,13 @@
         Self { inner, address }
     }
 
-    /// Writes its entry into the list of targets, now and at each start.
+    /// Writes its entry to the list of targets now and at each start.
     pub fn list_in(&self, store: &Store, service: &str) {
         self.list_at_start(store, service, self.address);
         self.inner.write_entry();
     }
 
-    /// Writes its entry at each start from now on, with the address where others reach it.
+    /// Writes its entry with the given address at each later start.
     pub fn list_at_start(&self, store: &Store, service: &str, address: SocketAddr) {
         *self.inner.entry.lock().unwrap() = Some(Entry {
             store: store.clone(),
@@ -213,22 +213,22 @@
         });
     }
 
-    /// When it started, where its entry tells it.
+    /// Start time in milliseconds since the Unix epoch, if its entry has one.
     pub fn born(&self) -> Option<u64> {
         *self.inner.born.lock().unwrap()
     }
 
-    /// When it crashed.
+    /// Times of its crashes.
     pub fn crashes(&self) -> Vec<Instant> {
         self.inner.crashes.lock().unwrap().clone()
     }
 
-    /// Has it look so when it has crashed.
+    /// Sets what clients see after a crash.
     pub fn set_down(&self, down: Down) {
         *self.inner.down.lock().unwrap() = down;
     }
 
-    /// Ends at once, and starts again under its id a while later.
+    /// Crashes the runner; it restarts under the same instance id after `BACK_AFTER`.
     pub fn crash(&self) {
         self.inner.crash(self.address);
     }
@@ -237,7 +237,7 @@
         self.inner.instance.lock().unwrap().clone()
     }
 
-    /// Another instance takes the address.
+    /// Replaces the instance behind the address by another.
     pub fn replace(&self, instance: &str) {
         *self.inner.born.lock().unwrap() = None;
         *self.inner.instance.lock().unwrap() = instance.to_owned();
@@ -247,19 +247,19 @@
         *self.inner.mode.lock().unwrap() = mode;
     }
 
-    /// Says this of itself in the heads of all answers from now on.
+    /// Sets the headers that are added to all later answers.
     pub fn set_answer_headers(&self, headers: &[(&'static str, &str)]) {
         let headers = headers
             .iter()
             .map(|(name, value)| (*name, (*value).to_owned()));
-        *self.inner.said.lock().unwrap() = headers.collect();
+        *self.inner.answer_headers.lock().unwrap() = headers.collect();
     }
 
     pub fn arrivals(&self) -> Vec<Arrival> {
         self.inner.arrivals.lock().unwrap().clone()
     }
 
-    /// Requests that ran here.
+    /// Number of requests that this runner ran.
     pub fn runs(&self) -> usize {
         self.arrivals().iter().filter(|arrival| arrival.ran).count()
     }
@@ -267,15 +267,16 @@
 
 impl Inner {
     fn serve(self: &Arc<Self>, listener: TcpListener) {
-        let life = self.life.lock().unwrap().clone();
+        let process_end = self.process_end.lock().unwrap().clone();
         let inner = Arc::clone(self);
-        let handler = move |address, request| answer_and_say(Arc::clone(&inner), address, request);
-        *self.serving.lock().unwrap() = Some(serve_on(listener, handler, life));
+        let handler =
+            move |address, request| answer_with_headers(Arc::clone(&inner), address, request);
+        *self.serving.lock().unwrap() = Some(serve_on(listener, handler, process_end));
     }
 
-    /// Whether a request is the last of so many.
-    fn is_one_in(&self, count: u32) -> bool {
-        let number = self.counted.fetch_add(1, Ordering::Relaxed) + 1;
+    /// Counts a request and returns whether it is the last of each `count`.
+    fn is_nth(&self, count: u32) -> bool {
+        let number = self.rest_count.fetch_add(1, Ordering::Relaxed) + 1;
         number % count == 0
     }
 
@@ -296,11 +297,11 @@
     }
 
     fn crash(self: &Arc<Self>, address: SocketAddr) {
-        let life = self.life.lock().unwrap().clone();
-        if life.is_cancelled() {
+        let process_end = self.process_end.lock().unwrap().clone();
+        if process_end.is_cancelled() {
             return;
         }
-        life.cancel();
+        process_end.cancel();
         self.crashes.lock().unwrap().push(Instant::now());
         let down = *self.down.lock().unwrap();
         let serving = self.serving.lock().unwrap().take().unwrap();
@@ -316,31 +317,31 @@
                 TcpListener::bind(address).await.unwrap()
             } else {
                 let listener = serving.await.unwrap();
-                // It ends with the time.
-                let _ = tokio::time::timeout(BACK_AFTER, turn_away(&listener)).await;
+                // The loop never returns, so the timeout always elapses.
+                let _ = tokio::time::timeout(BACK_AFTER, accept_and_close(&listener)).await;
                 listener
             };
-            *inner.life.lock().unwrap() = CancellationToken::new();
+            *inner.process_end.lock().unwrap() = CancellationToken::new();
             inner.serve(listener);
             inner.write_entry();
         });
     }
 }
 
-/// Accepts connections and closes them.
-async fn turn_away(listener: &TcpListener) {
+/// Accepts connections and closes them at once.
+async fn accept_and_close(listener: &TcpListener) {
     loop {
         drop(listener.accept().await);
     }
 }
 
-async fn answer_and_say(
+async fn answer_with_headers(
     inner: Arc<Inner>,
     address: SocketAddr,
     request: hyper::Request<Incoming>,
 ) -> Result<Reply, ConnectionClosed> {
     let mut reply = answer(Arc::clone(&inner), address, request).await?;
-    for (name, value) in inner.said.lock().unwrap().iter() {
+    for (name, value) in inner.answer_headers.lock().unwrap().iter() {
         reply.headers_mut().append(*name, value.parse().unwrap());
     }
     Ok(reply)
@@ -360,12 +361,12 @@
     let instance = inner.instance.lock().unwrap().clone();
     let mode = *inner.mode.lock().unwrap();
     let expected = parts.headers.get("x-expect-instance");
-    let is_meant = expected.is_none_or(|expected| expected.as_bytes() == instance.as_bytes());
-    let rests = match mode {
-        Mode::Rest(one_in, millis) => inner.is_one_in(one_in).then_some(millis),
+    let is_addressed = expected.is_none_or(|expected| expected.as_bytes() == instance.as_bytes());
+    let backoff = match mode {
+        Mode::Rest(one_in, millis) => inner.is_nth(one_in).then_some(millis),
         _ => None,
     };
-    let ran = is_meant && mode != Mode::Shed && rests.is_none();
+    let ran = is_addressed && mode != Mode::Shed && backoff.is_none();
     let handed_out = Arc::new(AtomicU32::new(0));
     inner.arrivals.lock().unwrap().push(Arrival {
         method: parts.method.to_string(),
@@ -391,7 +392,7 @@
     let id = parts.headers.get("x-attempt-id").cloned();
     let id = id.map_or(String::new(), |id| id.to_str().unwrap().to_owned());
     let mut head = Response::builder().header("x-attempt-id", &id);
-    if !is_meant {
+    if !is_addressed {
         let head = head.status(StatusCode::MISDIRECTED_REQUEST);
         return Ok(head
             .header("x-runner-id", instance)
@@ -408,7 +409,7 @@
             return Ok(head.header("x-not-executed", "1").body(whole("")).unwrap());
         }
         Mode::Rest(_, _) => {
-            if let Some(millis) = rests {
+            if let Some(millis) = backoff {
                 let head = Response::builder().status(StatusCode::SERVICE_UNAVAILABLE);
                 let head = head
                     .header("x-attempt-id", id)
@@ -446,7 +447,7 @@
         return Ok(head.body(whole(&body)).unwrap());
     }
     let last = parts.headers.get("last-event-id");
-    let begun = last.map_or(0, |last| last.to_str().unwrap().parse::<u32>().unwrap());
+    let last_event = last.map_or(0, |last| last.to_str().unwrap().parse::<u32>().unwrap());
     let head = head.header("content-type", "text/event-stream");
     let source = Source {
         mode,
@@ -454,10 +455,10 @@
         id,
         handed_out,
     };
-    Ok(head.body(events(begun, source)).unwrap())
+    Ok(head.body(events(last_event, source)).unwrap())
 }
 
-/// What a stream is made from.
+/// Parameters of a stream.
 struct Source {
     mode: Mode,
     work: Option<Work>,
@@ -466,7 +467,7 @@
 }
 
 impl Source {
-    /// Time before each event, in milliseconds.
+    /// Delay before each event, in milliseconds.
     fn gap(&self) -> Option<u64> {
         match (self.mode, self.work) {
             (Mode::Slow(gap), _) => Some(gap),
@@ -486,21 +487,21 @@
     }
 }
 
-/// Events after the one numbered `begun`.
-fn events(begun: u32, source: Source) -> Body {
-    let state = (begun, source);
+/// Stream of the events after the one numbered `last_event`.
+fn events(last_event: u32, source: Source) -> Body {
+    let state = (last_event, source);
     Body::stream(stream::unfold(state, move |(last, source)| async move {
         let number = last + 1;
         if let Some(gap) = source.gap() {
             tokio::time::sleep(Duration::from_millis(gap)).await;
         }
         if let Mode::Break(after) = source.mode {
-            // What was sent before is on its way before the connection goes.
+            // Lets the earlier events be sent before the connection closes.
             tokio::time::sleep(Duration::from_millis(20)).await;
-            if last > begun + after {
+            if last > last_event + after {
                 return Some((Err(ConnectionClosed), (last, source)));
             }
-            if last == begun + after {
+            if last == last_event + after {
                 let half = format!("id: {number}\ndata: half");
                 return Some((Ok(half.into()), (number, source)));
             }
--- a/tests/deployment/server.rs
+++ b/tests/deployment/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! Minimal HTTP/1.1 server for the stand-ins.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,13 +18,13 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// The connection is closed without an answer, or in the middle of one.
+/// Error that makes the server close the connection without an answer or within one.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionClosed;
 
 impl std::fmt::Display for ConnectionClosed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("gone")
+        f.write_str("connection closed")
     }
 }
 
@@ -64,7 +64,7 @@
 
 pub type Reply = Response<Body>;
 
-/// Serves on a free port of loopback until the runtime ends. The handler is told the address.
+/// Serves on a free loopback port until the runtime ends. The handler receives the listening address.
 pub async fn serve<F, A>(handler: F) -> SocketAddr
 where
     F: Fn(SocketAddr, hyper::Request<Incoming>) -> A + Clone + Send + Sync + 'static,
@@ -76,12 +76,12 @@
     address
 }
 
-/// Serves on a listener for as long as a process lives: at its end all connections are closed at once, and the port
-/// unless somebody waits for the listener.
+/// Serves on a listener until `process_end` is cancelled, which closes all connections at once. The port closes too,
+/// unless the caller awaits the returned listener.
 pub fn serve_on<F, A>(
     listener: TcpListener,
     handler: F,
-    life: CancellationToken,
+    process_end: CancellationToken,
 ) -> JoinHandle<TcpListener>
 where
     F: Fn(SocketAddr, hyper::Request<Incoming>) -> A + Clone + Send + Sync + 'static,
@@ -92,19 +92,19 @@
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = life.cancelled() => return listener,
+                () = process_end.cancelled() => return listener,
             };
             let Ok((stream, _)) = accepted else {
                 continue;
             };
             let handler = handler.clone();
-            let life = life.clone();
+            let process_end = process_end.clone();
             tokio::spawn(async move {
                 let service = service_fn(move |request| handler(address, request));
                 let io = TokioIo::new(stream);
                 tokio::select! {
                     _ = http1::Builder::new().serve_connection(io, service) => {}
-                    () = life.cancelled() => {}
+                    () = process_end.cancelled() => {}
                 }
             });
         }
--- a/tests/deployment/store.rs
+++ b/tests/deployment/store.rs
@@ -1,6 +1,6 @@
-//! A stand-in of the platform's store, written from its published protocol: topics, partitions,
-//! conditional appends, newest records of keyed topics. Each router is given an address of its own,
-//! so that the store can misbehave towards one of them.
+//! Stand-in for the platform's store, written from its published protocol: topics, partitions,
+//! conditional appends, newest records of keyed topics. Each router gets its own address, so that
+//! faults can be injected for one router alone.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddr;
@@ -18,26 +18,26 @@
 
 use super::server::{ConnectionClosed, Reply, serve};
 
-/// Topics that operators and runners write to.
-const OF_OTHERS: [&str; 2] = ["keyed.op", "keyed.servers"];
+/// Topics written by operators and runners.
+const EXTERNAL_TOPICS: [&str; 2] = ["keyed.op", "keyed.servers"];
 
-/// What operators and runners had written that a copy lacks.
-pub struct Lost(Vec<LostEntry>);
+/// Records of operators and runners that a restored snapshot lacks.
+pub struct LostRecords(Vec<LostRecord>);
 
-struct LostEntry {
+struct LostRecord {
     topic: String,
     key: String,
-    /// What it was; `None` where it had gone.
+    /// Value before the restore; `None` if the key was deleted.
     value: Option<Bytes>,
-    /// What the copy has.
+    /// Value in the snapshot.
     copied: Option<Bytes>,
 }
 
-impl Lost {
-    fn new(parts: &HashMap<(String, u32), Part>, copy: &Snapshot) -> Self {
+impl LostRecords {
+    fn new(parts: &HashMap<(String, u32), Partition>, copy: &Snapshot) -> Self {
         let mut lost = Vec::new();
-        let none = Part::default();
-        for topic in OF_OTHERS {
+        let none = Partition::default();
+        for topic in EXTERNAL_TOPICS {
             let place = (topic.to_owned(), 0);
             let now = &parts.get(&place).unwrap_or(&none).newest;
             let then = &copy.0.get(&place).unwrap_or(&none).newest;
@@ -46,7 +46,7 @@
                 let value = now.get(key).map(|(_, value)| value.clone());
                 let copied = then.get(key).map(|(_, value)| value.clone());
                 if value != copied {
-                    lost.push(LostEntry {
+                    lost.push(LostRecord {
                         topic: topic.to_owned(),
                         key: key.clone(),
                         value,
@@ -59,46 +59,46 @@
     }
 }
 
-/// Its era before it has come back from a copy for the first time.
+/// Store era before the first restore.
 const FIRST_ERA: u64 = 1;
 
-/// How the store treats one address.
+/// Fault injected at one address.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// As it should.
+    /// Answers correctly.
     #[default]
     None,
-    /// It answers 503 and does nothing.
+    /// Answers 503 without executing the call.
     Unavailable,
-    /// It answers 503 about prepaid budgets, and all else as it should.
+    /// Answers 503 to calls about prepaid budgets, and all other calls correctly.
     NoGrants,
-    /// It answers 429 and does nothing.
+    /// Answers 429 without executing the call.
     Limited,
-    /// It says nothing and does nothing.
+    /// Neither answers nor executes the call.
     Silent,
-    /// It answers after this many milliseconds.
+    /// Executes and answers after this many milliseconds.
     Slow(u64),
-    /// It does what is asked, and closes the connection without an answer.
+    /// Executes the call and closes the connection without an answer.
     LostAnswer,
-    /// It does what is asked, and gives no answer to appends about prepaid budgets.
+    /// Executes all calls, but gives no answer to appends about prepaid budgets.
     LostGrants,
-    /// It closes the connection, and does what is asked after this many milliseconds, if its
-    /// condition still holds.
+    /// Closes the connection, and executes the call after this many milliseconds, if its condition
+    /// still holds.
     Late(u64),
 }
 
-/// What the store held at one moment, to come back from.
+/// Contents of the store at one moment, for `Store::restore`.
 #[derive(Clone, Default)]
-pub struct Snapshot(HashMap<(String, u32), Part>);
+pub struct Snapshot(HashMap<(String, u32), Partition>);
 
 #[derive(Clone, Default)]
-struct Part {
+struct Partition {
     first: u64,
     records: Vec<Bytes>,
     newest: BTreeMap<String, (u64, Bytes)>,
 }
 
-impl Part {
+impl Partition {
     fn end(&self) -> u64 {
         self.first + self.records.len() as u64
     }
@@ -123,18 +123,18 @@
 
 #[derive(Default)]
 struct Inner {
-    parts: Mutex<HashMap<(String, u32), Part>>,
+    parts: Mutex<HashMap<(String, u32), Partition>>,
     faults: Mutex<HashMap<SocketAddr, Fault>>,
-    turned_away: Mutex<Vec<(SocketAddr, String)>>,
-    /// Times that it has come back from a copy.
-    returns: AtomicU64,
+    unavailable_calls: Mutex<Vec<(SocketAddr, String)>>,
+    /// Number of restores from a snapshot.
+    restores: AtomicU64,
 }
 
-/// The store.
+/// The store stand-in; clones share its contents.
 #[derive(Clone, Default)]
 pub struct Store(Arc<Inner>);
 
-fn frames(mut bytes: Bytes) -> Vec<Bytes> {
+fn split_records(mut bytes: Bytes) -> Vec<Bytes> {
     let mut records = Vec::new();
     while bytes.len() >= 4 {
         let len = u32::from_be_bytes(bytes[..4].try_into().unwrap()) as usize;
@@ -159,10 +159,10 @@
         self.0.faults.lock().unwrap().insert(address, fault);
     }
 
-    /// Whether a call about a topic at an address was answered with 503.
+    /// Whether `Fault::Unavailable` answered a call about a topic at an address with 503.
     pub fn has_answered_503(&self, address: SocketAddr, topic: &str) -> bool {
-        let turned_away = self.0.turned_away.lock().unwrap();
-        let mut calls = turned_away.iter();
+        let unavailable_calls = self.0.unavailable_calls.lock().unwrap();
+        let mut calls = unavailable_calls.iter();
         calls.any(|(at, uri)| *at == address && uri.contains(topic))
     }
 
@@ -178,7 +178,7 @@
         part.append(true, vec![record.into()]);
     }
 
-    /// Writes a record whose key is any bytes, as another writer may.
+    /// Writes a record with an arbitrary byte string as its key, as another writer may.
     pub fn put_bytes(&self, topic: &str, key: &[u8], value: &[u8]) {
         let mut record = vec![key.len() as u8];
         record.extend_from_slice(key);
@@ -188,22 +188,22 @@
         part.append(true, vec![record.into()]);
     }
 
-    /// Copies all that it holds.
+    /// Takes a snapshot of all contents.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot(self.0.parts.lock().unwrap().clone())
     }
 
-    /// Comes back from a copy: what was written since is gone, and its offsets are given out again.
-    pub fn restore(&self, copy: &Snapshot) -> Lost {
+    /// Restores a snapshot: later records are lost, and their offsets are assigned again.
+    pub fn restore(&self, copy: &Snapshot) -> LostRecords {
         let mut parts = self.0.parts.lock().unwrap();
-        let lost = Lost::new(&parts, copy);
+        let lost = LostRecords::new(&parts, copy);
         parts.clone_from(&copy.0);
-        self.0.returns.fetch_add(1, Ordering::SeqCst);
+        self.0.restores.fetch_add(1, Ordering::SeqCst);
         lost
     }
 
-    /// Writes again what operators and runners had written, where they have not written since.
-    pub fn rewrite(&self, lost: &Lost) {
+    /// Rewrites the lost records of operators and runners, except where a key was written since.
+    pub fn rewrite(&self, lost: &LostRecords) {
         let mut parts = self.0.parts.lock().unwrap();
         for entry in &lost.0 {
             let part = parts.entry((entry.topic.clone(), 0)).or_default();
@@ -218,7 +218,7 @@
         }
     }
 
-    /// Forgets the records of a topic; the newest of each key stay.
+    /// Drops the records of a topic but keeps the newest record of each key.
     pub fn compact(&self, topic: &str) {
         let mut parts = self.0.parts.lock().unwrap();
         for ((name, _), part) in parts.iter_mut() {
@@ -236,7 +236,7 @@
     ) -> Result<Reply, ConnectionClosed> {
         let reply = self.reply(address, request).await;
         reply.map(|mut reply| {
-            let era = FIRST_ERA + self.0.returns.load(Ordering::SeqCst);
+            let era = FIRST_ERA + self.0.restores.load(Ordering::SeqCst);
             reply.headers_mut().insert("store-era", era.into());
             reply
         })
@@ -252,10 +252,10 @@
             Fault::None => Ok(self.call(request).await),
             Fault::Unavailable => {
                 let call = (address, request.uri().to_string());
-                self.0.turned_away.lock().unwrap().push(call);
+                self.0.unavailable_calls.lock().unwrap().push(call);
                 Ok(status(StatusCode::SERVICE_UNAVAILABLE))
             }
-            Fault::NoGrants if is_about_grants(request.uri()) => {
+            Fault::NoGrants if concerns_grants(request.uri()) => {
                 Ok(status(StatusCode::SERVICE_UNAVAILABLE))
             }
             Fault::NoGrants => Ok(self.call(request).await),
@@ -270,7 +270,7 @@
                 Err(ConnectionClosed)
             }
             Fault::LostGrants => {
-                let is_lost = is_about_grants(request.uri()) && request.method() == Method::POST;
+                let is_lost = concerns_grants(request.uri()) && request.method() == Method::POST;
                 let reply = self.call(request).await;
                 if is_lost {
                     Err(ConnectionClosed)
@@ -285,7 +285,7 @@
                 tokio::spawn(async move {
                     tokio::time::sleep(Duration::from_millis(millis)).await;
                     if let Ok(body) = body {
-                        store.act(&parts.uri, body).await;
+                        store.execute(&parts.uri, body).await;
                     }
                 });
                 Err(ConnectionClosed)
@@ -296,12 +296,12 @@
     async fn call(&self, request: hyper::Request<Incoming>) -> Reply {
         let (parts, body) = request.into_parts();
         match body.collect().await {
-            Ok(body) => self.act(&parts.uri, body.to_bytes()).await,
+            Ok(body) => self.execute(&parts.uri, body.to_bytes()).await,
             Err(_) => status(StatusCode::BAD_REQUEST),
         }
     }
 
-    async fn act(&self, uri: &http::Uri, body: Bytes) -> Reply {
+    async fn execute(&self, uri: &http::Uri, body: Bytes) -> Reply {
         let query: HashMap<&str, &str> = uri
             .query()
             .unwrap_or_default()
@@ -317,12 +317,12 @@
                 let part = parts.entry(place).or_default();
                 if number("at").is_some_and(|at| at != part.end()) {
                     let body = json!({ "end": part.end() });
-                    return with(StatusCode::PRECONDITION_FAILED, body.to_string().into());
+                    return reply_with(StatusCode::PRECONDITION_FAILED, body.to_string().into());
                 }
                 let offset = part.end();
-                part.append(topic.starts_with("keyed."), frames(body));
+                part.append(topic.starts_with("keyed."), split_records(body));
                 let body = json!({ "offset": offset, "end": part.end() });
-                with(StatusCode::OK, body.to_string().into())
+                reply_with(StatusCode::OK, body.to_string().into())
             }
             "/api/log-read" => {
                 let from = number("from").unwrap_or_default();
@@ -340,7 +340,7 @@
                     })
                     .collect();
                 let body = json!({ "items": items, "more": false, "end": part.end() });
-                with(StatusCode::OK, body.to_string().into())
+                reply_with(StatusCode::OK, body.to_string().into())
             }
             _ => status(StatusCode::NOT_FOUND),
         }
@@ -355,7 +355,7 @@
                 let part = parts.entry(place.clone()).or_default();
                 if from < part.first || from > part.end() {
                     let body = json!({ "first": part.first });
-                    return with(StatusCode::GONE, body.to_string().into());
+                    return reply_with(StatusCode::GONE, body.to_string().into());
                 }
                 if part.end() > from || waited >= wait {
                     let mut body = part.end().to_be_bytes().to_vec();
@@ -365,7 +365,7 @@
                         body.extend((record.len() as u32).to_be_bytes());
                         body.extend_from_slice(record);
                     }
-                    return with(StatusCode::OK, body.into());
+                    return reply_with(StatusCode::OK, body.into());
                 }
             }
             tokio::time::sleep(Duration::from_millis(STEP)).await;
@@ -375,16 +375,16 @@
 }
 
 fn status(status: StatusCode) -> Reply {
-    with(status, Bytes::new())
+    reply_with(status, Bytes::new())
 }
 
-fn with(status: StatusCode, body: Bytes) -> Reply {
+fn reply_with(status: StatusCode, body: Bytes) -> Reply {
     let mut response = Response::new(super::server::Body::Whole(Full::new(body)));
     *response.status_mut() = status;
     response
 }
 
-fn is_about_grants(uri: &http::Uri) -> bool {
+fn concerns_grants(uri: &http::Uri) -> bool {
     uri.query()
         .is_some_and(|query| query.contains("topic=keyed.prepaid"))
 }
--- a/tests/deployment/turns.rs
+++ b/tests/deployment/turns.rs
@@ -1,4 +1,4 @@
-//! Callers that ask all gateways in turn, and what of it arrived.
+//! Callers that send requests to all gateways in turn.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,12 +6,12 @@
 use super::runner::Runner;
 use super::{Ask, Deployment, config, try_ask};
 
-/// A customer's budget that no test uses up.
-pub const PLENTY: u64 = 1_000_000_000;
-/// The header in which a request has the number of the gateway that it was sent to.
+/// A prepaid budget that no test exhausts.
+pub const LARGE_BUDGET: u64 = 1_000_000_000;
+/// Request header with the index of the gateway that the request was sent to.
 pub const GATEWAY_HEADER: &str = "x-gateway";
 
-/// Runners of one service behind some gateways that all know each other.
+/// Starts runners of one service behind gateways that all know each other.
 pub async fn start_fleet(
     gateways: usize,
     runners: usize,
@@ -22,7 +22,7 @@
     for number in 0..count {
         runners.push(Runner::start(&format!("i-{number}")).await);
     }
-    let mut deployment = Deployment::start(0, &config(1, PLENTY), &[]).await;
+    let mut deployment = Deployment::start(0, &config(1, LARGE_BUDGET), &[]).await;
     for runner in &runners {
         runner.list_in(&deployment.store, service);
     }
@@ -34,14 +34,14 @@
     (deployment, runners)
 }
 
-/// Where the gateways take callers.
+/// Addresses where the gateways accept callers.
 pub fn fronts(deployment: &Deployment) -> Vec<SocketAddr> {
     let gateways = deployment.gateways.iter();
     gateways.map(|gateway| gateway.front).collect()
 }
 
-/// Sends what `make` makes of a number to all gateways in turn, one each `gap`; the numbers of requests and of those
-/// that were answered whole are returned.
+/// Sends the requests that `make` builds from a sequence number to the gateways in turn, one per `gap`. Returns the
+/// number of requests and how many of them got a complete answer with status 200.
 pub async fn ask_in_turn(
     fronts: Vec<SocketAddr>,
     gap: Duration,
