--- a/tests/common/area.rs
+++ b/tests/common/area.rs
@@ -1,4 +1,4 @@
-//! A work area: the real binary in separate processes on loopback, ended when the test ends.
+//! A router test cluster: the real binary in separate processes on loopback, killed when the test ends.
 
 use std::io::Write;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpStream};
@@ -21,16 +21,17 @@
 pub const FLEET_KEY: &str = "fleet-key";
 pub const PREPAID: u64 = 1_000_000;
 
-/// Runs a command of the binary to its end.
+/// Runs a command of the binary until it exits.
 pub fn lanedeck(args: &[&str]) -> Output {
     binary().args(args).output().expect("the binary starts")
 }
 
+/// Standard output followed by standard error.
 pub fn text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-/// One answer.
+/// An HTTP answer.
 #[derive(Debug)]
 pub struct Answer {
     pub status: u16,
@@ -49,7 +50,7 @@
             .map_or("", |value| value.to_str().unwrap())
     }
 
-    /// Data of the events of a streamed answer.
+    /// Data of each event of a streamed answer.
     pub fn events(&self) -> Vec<&str> {
         self.body
             .lines()
@@ -58,23 +59,23 @@
     }
 }
 
-/// What an area is made of.
+/// Configuration of an `Area`.
 #[derive(Clone, Debug, Default)]
 pub struct Setup {
     pub engines: usize,
     pub services: usize,
-    /// Addresses of each router for callers and for other routers.
+    /// Each router's listening addresses: for callers and for other routers.
     pub routers: Vec<(SocketAddr, SocketAddr)>,
     pub router_options: Vec<String>,
     pub engine_options: Vec<String>,
-    /// Where routers' logs stay.
+    /// Folder in which routers' logs are kept.
     pub logs: Option<PathBuf>,
 }
 
-/// A free port each time that a process starts.
-const ANY: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Lets the system choose a free port each time a process starts.
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A fleet with its platform and targets.
+/// Running routers with their platform stand-ins and targets.
 pub struct Area {
     runtime: tokio::runtime::Runtime,
     client: volo_http::client::Client,
@@ -88,7 +89,7 @@
 }
 
 impl Area {
-    /// A log, a host list, engines, one service and routers, configured and ready.
+    /// Starts a log, a host list, engines, one service and routers; returns when all are configured and ready.
     pub fn new(engines: usize, routers: usize) -> Self {
         Self::with_options(engines, routers, &[], &[])
     }
@@ -103,7 +104,7 @@
         Self::with_setup(Setup {
             engines,
             services: 1,
-            routers: vec![(ANY, ANY); routers],
+            routers: vec![(ANY_PORT, ANY_PORT); routers],
             router_options: own(router_options),
             engine_options: own(engine_options),
             logs: None,
@@ -148,7 +149,7 @@
         area
     }
 
-    /// Waits until every router has read the log, has a witness, and knows all others.
+    /// Waits until every router has read the log, has a witness, and sees all others as well.
     pub fn wait_ready(&self) {
         let routers = self.routers.len();
         let knows_all = |status: &Value| {
@@ -170,16 +171,16 @@
         });
     }
 
-    /// How one router sees things.
+    /// The status that one router reports.
     pub fn status(&self, router: usize) -> Value {
         let key = format!("operator:{OPERATOR}");
         self.get(self.routers[router].address, "/v1/status", &key)
             .json()
     }
 
-    /// Starts a router in a place; a free port is taken.
+    /// Starts a router at an index, on free ports.
     pub fn start_router(&mut self, place: usize) {
-        let router = self.router(place, ANY, ANY);
+        let router = self.router(place, ANY_PORT, ANY_PORT);
         if place < self.routers.len() {
             self.routers[place] = router;
         } else {
@@ -212,14 +213,14 @@
         args
     }
 
-    /// Starts a router again on the addresses that it had.
+    /// Kills a router and restarts it on the same addresses.
     pub fn restart_router(&mut self, place: usize) {
         let (entry, peer) = (self.routers[place].address, self.routers[place].peer);
         self.routers[place].kill();
         self.routers[place] = self.router(place, entry, peer);
     }
 
-    /// Tells the host list all routers; those in `leaving` are leaving.
+    /// Sets the host list to all routers; those in `leaving` are marked as leaving.
     pub fn list_hosts(&self, leaving: &[usize]) {
         let hosts: Vec<Value> = self
             .routers
@@ -272,7 +273,7 @@
         self.apply(&json!({"budget": budget}));
     }
 
-    /// Plans an intent and confirms it; both must go well.
+    /// Plans an intent and confirms it; both must succeed.
     pub fn apply(&self, intent: &Value) -> Answer {
         let plan = self.plan(0, intent);
         let answer = self.confirm(0, &plan);
@@ -307,7 +308,7 @@
             .collect()
     }
 
-    /// A budget as the first router that answers sees it.
+    /// A budget in the status of the first router that answers.
     pub fn seen(&self, name: &str) -> Value {
         let statuses = self.statuses();
         let budgets = statuses.first().map(|status| status["budgets"].clone());
@@ -318,7 +319,7 @@
             .unwrap_or_default()
     }
 
-    /// Waits until all routers have read the same.
+    /// Waits until all routers have applied the same log offsets.
     pub fn wait_same(&self) {
         self.wait("the same offsets", |area| {
             let all = area.statuses();
@@ -326,7 +327,7 @@
         });
     }
 
-    /// Waits, far longer than it should take, for something to hold.
+    /// Polls until a condition holds; panics after 40 s, far longer than any condition should take.
     pub fn wait(&self, what: &str, holds: impl Fn(&Self) -> bool) {
         let deadline = Instant::now() + Duration::from_secs(40);
         while !holds(self) {
@@ -390,7 +391,7 @@
         })
     }
 
-    /// The first address of an entry answer, with the prefix of ids there.
+    /// First address in an answer of `/v1/entry`, with the prefix of request ids there.
     pub fn entry(&self, router: usize, key: &str) -> (SocketAddr, String) {
         let answer = self.get(self.routers[router].address, "/v1/entry", key);
         let first = answer.json()["use"][0].clone();
@@ -401,7 +402,7 @@
         )
     }
 
-    /// The prefix of ids that a router itself gives out, whichever the customer should use.
+    /// The router's own prefix of request ids, whichever router the customer should use.
     pub fn prefix_of(&self, router: usize) -> String {
         let key = key("kiosks");
         let to = self.routers[router].address;
@@ -414,7 +415,7 @@
             .to_owned()
     }
 
-    /// How often each request ran, over all targets.
+    /// Number of runs of each request, over all targets.
     pub fn ran(&self) -> std::collections::BTreeMap<String, u64> {
         let mut all = std::collections::BTreeMap::new();
         for process in self.engines.iter().chain(&self.services) {
@@ -426,7 +427,7 @@
         all
     }
 
-    /// Waits until every bill is in the log, and gives what the budget was billed.
+    /// Waits until the budget's billed tokens equal `want`, and returns the budget.
     pub fn settled(&self, budget: &str, want: u64) -> Value {
         self.wait(&format!("{budget} billed {want}"), |area| {
             area.seen(budget)["billed"] == want
@@ -447,7 +448,7 @@
     }})
 }
 
-/// A streamed model call.
+/// Body of a streamed model call.
 pub fn chat(content: &str, tokens: u64) -> String {
     json!({
         "model": "assistant",
@@ -458,7 +459,7 @@
     .to_string()
 }
 
-/// What a streamed answer to `chat(content, tokens)` says, word by word.
+/// Expected words of the streamed answer to `chat(content, tokens)`.
 pub fn words(content: &str, tokens: u64) -> Vec<String> {
     let prompt = format!("user: {content}\n");
     (0..tokens)
@@ -466,7 +467,7 @@
         .collect()
 }
 
-/// Sends the bytes of a request and waits for nothing.
+/// Sends the bytes of a request without waiting for an answer.
 pub fn send(to: SocketAddr, request: &str) -> TcpStream {
     let mut stream = TcpStream::connect(to).unwrap();
     stream.write_all(request.as_bytes()).unwrap();
--- a/tests/common/area/process.rs
+++ b/tests/common/area/process.rs
@@ -1,4 +1,4 @@
-//! One process of the real binary, and what it logs.
+//! A child process of the real binary, with its log file.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// One started process.
+/// A child process, killed on drop.
 pub struct Process {
     child: Child,
     log: LogFile,
@@ -65,7 +65,7 @@
         matches!(self.child.try_wait(), Ok(Some(_)))
     }
 
-    /// Waits for the process to end by itself; its exit status.
+    /// Waits up to `most` for the process to exit by itself; returns its exit code.
     pub fn wait(&mut self, most: Duration) -> Option<i32> {
         let deadline = Instant::now() + most;
         while Instant::now() < deadline {
@@ -84,7 +84,7 @@
     }
 }
 
-/// What a child logs. Kept where `LANEDECK_TEST_LOGS` names a folder, else removed with the child.
+/// Log file of a child. Kept if `LANEDECK_TEST_LOGS` names a folder, else removed with the child.
 pub(super) struct LogFile {
     path: PathBuf,
     is_kept: bool,
@@ -99,7 +99,7 @@
         Self { path, is_kept }
     }
 
-    /// One that is kept, and that the next process of this name adds to.
+    /// A log file that is kept; the next process of the same name appends to it.
     pub(super) fn kept(folder: &Path, name: &str) -> Self {
         let path = folder.join(format!("{name}.log"));
         Self {
@@ -118,7 +118,7 @@
 impl Drop for LogFile {
     fn drop(&mut self) {
         if !self.is_kept {
-            // One that is left over does no harm.
+            // A leftover file does no harm.
             let _ = std::fs::remove_file(&self.path);
         }
     }
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -1,7 +1,7 @@
-//! Several control states in one thread, with a seeded order of events between them.
+//! Deterministic simulation: several routers' control states in one thread, with a seeded order of events.
 //!
-//! The log, the network, targets and callers are a few lines each: they lose, repeat, delay and
-//! reorder. What must always hold is asserted by the program itself; the rest is checked here.
+//! The log, the network, targets and callers are small simulations that lose, repeat, delay and reorder
+//! messages. The control states check their own invariants; all other properties are checked here.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -25,9 +25,11 @@
 
 pub const NODES: usize = 4;
 pub const PREPAID: u64 = 40_000;
-const MOST: u64 = 400;
-const RUN: u64 = 60_000;
-const SETTLE: u64 = 60_000;
+const COST_MAX: u64 = 400;
+/// Length of the phase with faults, in milliseconds.
+const FAULTS_MS: u64 = 60_000;
+/// Length of the phase without faults that follows, in milliseconds.
+const SETTLE_MS: u64 = 60_000;
 
 #[derive(Debug)]
 enum Event {
@@ -35,8 +37,8 @@
     Poll(usize, u64),
     ToNode(usize, u64, Input),
     Append(usize, u64, Stream, Batch),
-    Ask(usize, u64, Call, SocketAddr, Request),
-    Answer(usize, u64, Call, Option<Reply>),
+    PeerRequest(usize, u64, Call, SocketAddr, Request),
+    PeerReply(usize, u64, Call, Option<Reply>),
     Arrive(usize),
     Start(usize),
     Thaw(usize),
@@ -45,11 +47,11 @@
 
 pub struct Node {
     state: Option<State>,
-    life: u64,
+    generation: u64,
     frozen: bool,
-    cut: bool,
-    side: u8,
-    held: Vec<Event>,
+    log_cut: bool,
+    partition_side: u8,
+    deferred: Vec<Event>,
 }
 
 struct Caller {
@@ -60,12 +62,12 @@
     done: bool,
 }
 
-/// Faults that a run counts.
+/// Number of injected faults and notable events, by name.
 #[derive(Debug, Default, Clone)]
 pub struct Faults(pub BTreeMap<&'static str, u64>);
 
 impl Faults {
-    fn note(&mut self, name: &'static str) {
+    fn count(&mut self, name: &'static str) {
         *self.0.entry(name).or_default() += 1;
     }
 }
@@ -82,13 +84,13 @@
     callers: Vec<Caller>,
     tickets: HashMap<(usize, u64, Ticket), usize>,
     tokens: HashMap<ReplyToken, (usize, u64, Call)>,
-    ran_at: BTreeMap<Id, u32>,
+    run_counts: BTreeMap<Id, u32>,
     cost: BTreeMap<Id, u64>,
     pub billed: BTreeMap<Id, Vec<u64>>,
     pub faults: Faults,
     pub count: u64,
     pub verdicts: BTreeMap<&'static str, u64>,
-    calm: bool,
+    faults_off: bool,
     traced: bool,
 }
 
@@ -97,19 +99,19 @@
 }
 
 impl World {
-    /// A run with faults, and callers that send again.
+    /// A run with random faults, and callers that retry.
     pub fn new(seed: u64) -> Self {
         let mut world = Self::quiet(seed);
-        world.calm = false;
+        world.faults_off = false;
         world.after(3_000, Event::Fault);
         for _ in 0..300 {
-            let at = world.rng.random_range(2_000..RUN);
+            let at = world.rng.random_range(2_000..FAULTS_MS);
             world.after(at, Event::Arrive(usize::MAX));
         }
         world
     }
 
-    /// A run in which only that happens which a test brings about.
+    /// A run without random faults or callers; the test triggers each event.
     pub fn quiet(seed: u64) -> Self {
         let mut world = Self {
             rng: StdRng::seed_from_u64(seed),
@@ -125,24 +127,24 @@
             callers: Vec::new(),
             tickets: HashMap::new(),
             tokens: HashMap::new(),
-            ran_at: BTreeMap::new(),
+            run_counts: BTreeMap::new(),
             cost: BTreeMap::new(),
             billed: BTreeMap::new(),
             faults: Faults::default(),
             count: 0,
             verdicts: BTreeMap::new(),
-            calm: true,
+            faults_off: true,
             traced: std::env::var_os("LANEDECK_TRACE").is_some(),
         };
         world.configure();
         for node in 0..NODES {
             world.nodes.push(Node {
                 state: None,
-                life: 0,
+                generation: 0,
                 frozen: false,
-                cut: false,
-                side: 0,
-                held: Vec::new(),
+                log_cut: false,
+                partition_side: 0,
+                deferred: Vec::new(),
             });
             world.after(0, Event::Start(node));
         }
@@ -156,37 +158,37 @@
         self.queue.push(Reverse((self.now + wait, key)));
     }
 
-    /// Prints a step where `LANEDECK_TRACE` is set.
+    /// Prints a step if `LANEDECK_TRACE` is set.
     fn trace(&self, what: impl FnOnce() -> String) {
         if self.traced {
             println!("{} {}", self.now, what());
         }
     }
 
-    fn lag(&mut self) -> u64 {
-        if !self.calm && self.rng.random_bool(0.02) {
-            self.faults.note("late message");
+    fn latency(&mut self) -> u64 {
+        if !self.faults_off && self.rng.random_bool(0.02) {
+            self.faults.count("late message");
             return self.rng.random_range(100..6_000);
         }
         self.rng.random_range(1..8)
     }
 
     fn chance(&mut self, share: f64, name: &'static str) -> bool {
-        let hit = !self.calm && self.rng.random_bool(share);
+        let hit = !self.faults_off && self.rng.random_bool(share);
         if hit {
-            self.faults.note(name);
+            self.faults.count(name);
         }
         hit
     }
 
-    /// Runs to the end: a stretch with faults, then one without, in which all must come to rest.
+    /// Runs to the end: a phase with faults, then one without, in which all must settle.
     pub fn run(&mut self) {
         while let Some(Reverse((at, key))) = self.queue.pop() {
             self.now = at;
-            if at > RUN && !self.calm {
-                self.calm_down();
+            if at > FAULTS_MS && !self.faults_off {
+                self.end_faults();
             }
-            if at > RUN + SETTLE {
+            if at > FAULTS_MS + SETTLE_MS {
                 return;
             }
             let event = self.events.remove(&key).unwrap();
@@ -195,12 +197,12 @@
         }
     }
 
-    fn calm_down(&mut self) {
-        self.calm = true;
+    fn end_faults(&mut self) {
+        self.faults_off = true;
         self.log_up = true;
         for node in 0..NODES {
-            self.nodes[node].cut = false;
-            self.nodes[node].side = 0;
+            self.nodes[node].log_cut = false;
+            self.nodes[node].partition_side = 0;
             if self.nodes[node].frozen {
                 self.after(0, Event::Thaw(node));
             }
@@ -209,8 +211,10 @@
 
     fn step(&mut self, event: Event) {
         let node = match &event {
-            Event::Tick(node, life) | Event::Poll(node, life) | Event::ToNode(node, life, _) => {
-                if self.nodes[*node].life != *life {
+            Event::Tick(node, generation)
+            | Event::Poll(node, generation)
+            | Event::ToNode(node, generation, _) => {
+                if self.nodes[*node].generation != *generation {
                     return;
                 }
                 Some(*node)
@@ -220,26 +224,33 @@
         if let Some(node) = node
             && self.nodes[node].frozen
         {
-            self.nodes[node].held.push(event);
+            self.nodes[node].deferred.push(event);
             return;
         }
         match event {
-            Event::Tick(node, life) => {
-                self.after(50, Event::Tick(node, life));
-                self.tell(node, Input::Tick);
+            Event::Tick(node, generation) => {
+                self.after(50, Event::Tick(node, generation));
+                self.handle_input(node, Input::Tick);
             }
-            Event::Poll(node, life) => self.poll(node, life),
-            Event::ToNode(node, _, input) => self.tell(node, input),
-            Event::Append(node, life, stream, batch) => self.append(node, life, stream, batch),
-            Event::Ask(from, life, call, to, request) => self.ask(from, life, call, to, request),
-            Event::Answer(node, life, call, reply) => {
-                self.after(0, Event::ToNode(node, life, Input::Replied { call, reply }));
+            Event::Poll(node, generation) => self.poll(node, generation),
+            Event::ToNode(node, _, input) => self.handle_input(node, input),
+            Event::Append(node, generation, stream, batch) => {
+                self.append(node, generation, stream, batch)
+            }
+            Event::PeerRequest(from, generation, call, to, request) => {
+                self.deliver_request(from, generation, call, to, request)
+            }
+            Event::PeerReply(node, generation, call, reply) => {
+                self.after(
+                    0,
+                    Event::ToNode(node, generation, Input::Replied { call, reply }),
+                );
             }
             Event::Arrive(caller) => self.arrive(caller),
             Event::Start(node) => self.start(node),
             Event::Thaw(node) => {
                 self.nodes[node].frozen = false;
-                for event in std::mem::take(&mut self.nodes[node].held) {
+                for event in std::mem::take(&mut self.nodes[node].deferred) {
                     self.after(0, event);
                 }
             }
@@ -262,18 +273,20 @@
         };
         let mut settings = Settings::new(me, self.rng.random());
         settings.checkpoint_every = 60;
-        let hosts = (0..NODES).map(|one| (address(one, 8_000), false)).collect();
-        let one = &mut self.nodes[node];
-        one.life += 1;
-        one.state = Some(State::new(settings, Millis(self.now)));
-        let life = one.life;
-        self.tell(node, Input::Hosts(hosts));
-        self.after(1, Event::Tick(node, life));
-        self.after(1, Event::Poll(node, life));
+        let hosts = (0..NODES)
+            .map(|other| (address(other, 8_000), false))
+            .collect();
+        let started = &mut self.nodes[node];
+        started.generation += 1;
+        started.state = Some(State::new(settings, Millis(self.now)));
+        let generation = started.generation;
+        self.handle_input(node, Input::Hosts(hosts));
+        self.after(1, Event::Tick(node, generation));
+        self.after(1, Event::Poll(node, generation));
     }
 
     fn fault(&mut self) {
-        if self.calm {
+        if self.faults_off {
             return;
         }
         let wait = self.rng.random_range(500..4_000);
@@ -281,68 +294,75 @@
         let node = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..8) {
             0 if self.nodes[node].state.is_some() => {
-                self.faults.note("kill");
+                self.faults.count("kill");
                 self.kill(node);
                 let wait = self.rng.random_range(100..6_000);
                 self.after(wait, Event::Start(node));
             }
             1 if !self.nodes[node].frozen => {
-                self.faults.note("freeze");
+                self.faults.count("freeze");
                 let wait = self.rng.random_range(200..12_000);
                 self.freeze(node, wait);
             }
             2 => {
-                self.faults.note("log outage or end of one");
+                self.faults.count("log outage or end of one");
                 self.log_up = !self.log_up;
             }
             3 => {
-                self.faults.note("cut from the log or end of it");
-                self.nodes[node].cut = !self.nodes[node].cut;
+                self.faults.count("cut from the log or end of it");
+                self.nodes[node].log_cut = !self.nodes[node].log_cut;
             }
             4 => {
-                self.faults.note("partition or end of it");
+                self.faults.count("partition or end of it");
                 let side = self.rng.random_range(0..2);
-                self.nodes[node].side = side;
+                self.nodes[node].partition_side = side;
             }
             5 => self.trim(),
             6 if self.nodes[node].state.is_some() && !self.nodes[node].frozen => {
-                self.faults.note("planned stop");
-                self.tell(node, Input::Stop);
+                self.faults.count("planned stop");
+                self.handle_input(node, Input::Stop);
             }
             _ => {}
         }
     }
 
-    fn ask(&mut self, from: usize, life: u64, call: Call, to: SocketAddr, request: Request) {
+    fn deliver_request(
+        &mut self,
+        from: usize,
+        generation: u64,
+        call: Call,
+        to: SocketAddr,
+        request: Request,
+    ) {
         let node = usize::from(to.port() - 8_000);
         let target = &self.nodes[node];
-        if target.state.is_none() || target.side != self.nodes[from].side {
-            let lag = self.lag();
-            self.after(lag, Event::Answer(from, life, call, None));
+        if target.state.is_none() || target.partition_side != self.nodes[from].partition_side {
+            let latency = self.latency();
+            self.after(latency, Event::PeerReply(from, generation, call, None));
             return;
         }
         let token = self.next;
-        self.tokens.insert(token, (from, life, call));
-        let life = self.nodes[node].life;
+        self.tokens.insert(token, (from, generation, call));
+        let generation = self.nodes[node].generation;
         self.after(
             0,
-            Event::ToNode(node, life, Input::PeerRequest { token, request }),
+            Event::ToNode(node, generation, Input::PeerRequest { token, request }),
         );
     }
 
-    fn tell(&mut self, node: usize, input: Input) {
+    fn handle_input(&mut self, node: usize, input: Input) {
         let now = Millis(self.now);
         let Some(state) = &mut self.nodes[node].state else {
             return;
         };
         let actions = state.handle(now, input);
         for action in actions {
-            self.act(node, action);
+            self.execute(node, action);
         }
     }
 
-    fn act(&mut self, node: usize, action: Action) {
-        let life = self.nodes[node].life;
+    fn execute(&mut self, node: usize, action: Action) {
+        let generation = self.nodes[node].generation;
         match action {
             Action::Dispatch {
                 ticket,
@@ -351,69 +371,78 @@
                 choice: _,
                 rank: _,
             } => {
-                self.dispatch(node, life, ticket, id);
+                self.dispatch(node, generation, ticket, id);
             }
-            Action::Finish { ticket, verdict } => self.finish(node, life, ticket, verdict),
+            Action::Finish { ticket, verdict } => self.finish(node, generation, ticket, verdict),
             Action::Join { ticket, to } => {
-                if let Some(caller) = self.tickets.get(&(node, life, ticket)).copied() {
-                    self.faults.note("retry joined");
-                    self.tickets.insert((node, life, to), caller);
+                if let Some(caller) = self.tickets.get(&(node, generation, ticket)).copied() {
+                    self.faults.count("retry joined");
+                    self.tickets.insert((node, generation, to), caller);
                 }
             }
             Action::Append { stream, batch } => {
-                if self.nodes[node].cut {
+                if self.nodes[node].log_cut {
                     return;
                 }
                 if self.chance(0.03, "append repeated late") {
                     let wait = self.rng.random_range(1_000..8_000);
-                    self.after(wait, Event::Append(node, life, stream, batch.clone()));
+                    self.after(wait, Event::Append(node, generation, stream, batch.clone()));
                 }
-                let lag = self.lag();
-                self.after(lag, Event::Append(node, life, stream, batch));
+                let latency = self.latency();
+                self.after(latency, Event::Append(node, generation, stream, batch));
             }
             Action::Call { call, to, request } => {
                 if self.chance(0.02, "call lost") {
                     return;
                 }
                 if self.chance(0.02, "call repeated") {
-                    let lag = self.lag() + 50;
-                    self.after(lag, Event::Ask(node, life, call, to, request.clone()));
+                    let latency = self.latency() + 50;
+                    self.after(
+                        latency,
+                        Event::PeerRequest(node, generation, call, to, request.clone()),
+                    );
                 }
-                let lag = self.lag();
-                self.after(lag, Event::Ask(node, life, call, to, request));
+                let latency = self.latency();
+                self.after(
+                    latency,
+                    Event::PeerRequest(node, generation, call, to, request),
+                );
             }
             Action::Answer { token, reply } => {
-                let (from, life, call) = self.tokens[&token];
+                let (from, generation, call) = self.tokens[&token];
                 if !self.chance(0.02, "reply lost") {
-                    let lag = self.lag();
-                    self.after(lag, Event::Answer(from, life, call, Some(reply)));
+                    let latency = self.latency();
+                    self.after(
+                        latency,
+                        Event::PeerReply(from, generation, call, Some(reply)),
+                    );
                 }
             }
             Action::Inquire { id, request, .. } => {
-                if self.ran_at.contains_key(&request) {
-                    self.faults.note("target told a fate");
+                if self.run_counts.contains_key(&request) {
+                    self.faults.count("target told a fate");
                     let used = Tokens(self.cost[&request]);
                     self.after(
                         5,
-                        Event::ToNode(node, life, Input::InquiryAnswered { id, used }),
+                        Event::ToNode(node, generation, Input::InquiryAnswered { id, used }),
                     );
                 }
             }
             Action::Violated(violation) => {
                 panic!(
-                    "violated at {}, node {node}, life {life}: {violation}",
+                    "violated at {}, node {node}, generation {generation}: {violation}",
                     self.now
                 )
             }
             Action::Exit => {
-                self.faults.note("stop done");
+                self.faults.count("stop done");
                 self.nodes[node].state = None;
-                self.nodes[node].life += 1;
+                self.nodes[node].generation += 1;
                 self.after(500, Event::Start(node));
             }
             Action::IncarnationRenewed { incarnation } => {
-                self.trace(|| format!("reborn node={node} life={life} {incarnation}"));
-                self.faults.note("closed while alive");
+                self.trace(|| format!("renewed node={node} generation={generation} {incarnation}"));
+                self.faults.count("closed while alive");
             }
             Action::Forget(_)
             | Action::Planned { .. }
@@ -424,13 +453,13 @@
         }
     }
 
-    fn dispatch(&mut self, node: usize, life: u64, ticket: Ticket, id: Id) {
+    fn dispatch(&mut self, node: usize, generation: u64, ticket: Ticket, id: Id) {
         let used = *self.cost.get(&id).unwrap();
         let whole = Millis(50);
         let end = match self.rng.random_range(0..100) {
-            0..3 if !self.calm => End::Unsent,
-            3..5 if !self.calm => End::Refused,
-            5..9 if !self.calm => End::Broken {
+            0..3 if !self.faults_off => End::Unsent,
+            3..5 if !self.faults_off => End::Refused,
+            5..9 if !self.faults_off => End::Broken {
                 used: Tokens(used / 2),
                 shown: id.nonce % 2 == 0,
             },
@@ -439,14 +468,14 @@
                 whole,
             },
         };
-        self.trace(|| format!("dispatch node={node} life={life} {id} {end:?}"));
+        self.trace(|| format!("dispatch node={node} generation={generation} {id} {end:?}"));
         if !matches!(end, End::Unsent | End::Refused) {
-            *self.ran_at.entry(id).or_default() += 1;
+            *self.run_counts.entry(id).or_default() += 1;
         }
         let wait = self.rng.random_range(20..3_000);
         self.after(
             wait,
-            Event::ToNode(node, life, Input::Ended { ticket, end }),
+            Event::ToNode(node, generation, Input::Ended { ticket, end }),
         );
     }
 }
--- a/tests/common/world/callers.rs
+++ b/tests/common/world/callers.rs
@@ -1,4 +1,4 @@
-//! The callers of a run, what they are told, and what must hold at its end.
+//! The callers of a run, the verdicts they receive, and the checks at the end of the run.
 
 use super::*;
 
@@ -13,7 +13,7 @@
             let id = state.prefix().with_number(number);
             let repeatable = self.rng.random_bool(0.5);
             let customer = self.rng.random_range(0..3);
-            let cost = self.rng.random_range(1..=MOST);
+            let cost = self.rng.random_range(1..=COST_MAX);
             self.cost.insert(id, cost);
             self.callers.push(Caller {
                 id,
@@ -26,13 +26,13 @@
         } else {
             caller
         };
-        let one = &mut self.callers[caller];
-        if one.done || one.tries > 8 {
+        let entry = &mut self.callers[caller];
+        if entry.done || entry.tries > 8 {
             return;
         }
-        one.tries += 1;
-        let (id, repeatable, customer) = (one.id, one.repeatable, one.customer);
-        // A retry mostly goes where the id came from, at times elsewhere.
+        entry.tries += 1;
+        let (id, repeatable, customer) = (entry.id, entry.repeatable, entry.customer);
+        // A retry mostly goes to the router that issued the id, and sometimes to another.
         let home = self.nodes.iter().position(|node| {
             node.state
                 .as_ref()
@@ -40,40 +40,49 @@
         });
         let node = home.filter(|_| self.rng.random_bool(0.8)).unwrap_or(node);
         let ticket = Ticket(self.next);
-        let life = self.nodes[node].life;
-        self.tickets.insert((node, life, ticket), caller);
+        let generation = self.nodes[node].generation;
+        self.tickets.insert((node, generation, ticket), caller);
         let spec = spec(ticket, id, customer, repeatable);
-        let lag = self.lag();
-        self.after(lag, Event::ToNode(node, life, Input::Arrive(spec)));
+        let latency = self.latency();
+        self.after(
+            latency,
+            Event::ToNode(node, generation, Input::Arrive(spec)),
+        );
         let wait = self.rng.random_range(1_000..6_000);
         self.after(wait, Event::Arrive(caller));
     }
 
-    pub(super) fn finish(&mut self, node: usize, life: u64, ticket: Ticket, verdict: Verdict) {
+    pub(super) fn finish(
+        &mut self,
+        node: usize,
+        generation: u64,
+        ticket: Ticket,
+        verdict: Verdict,
+    ) {
         *self.verdicts.entry(verdict.word()).or_default() += 1;
-        let caller = self.tickets.get(&(node, life, ticket)).copied();
+        let caller = self.tickets.get(&(node, generation, ticket)).copied();
         self.trace(|| {
             let id = caller.map(|caller| self.callers[caller].id.to_string());
             format!(
-                "finish node={node} life={life} {} {verdict:?}",
+                "finish node={node} generation={generation} {} {verdict:?}",
                 id.unwrap_or_default()
             )
         });
-        let Some(caller) = self.tickets.get(&(node, life, ticket)).copied() else {
+        let Some(caller) = self.tickets.get(&(node, generation, ticket)).copied() else {
             return;
         };
-        let one = &mut self.callers[caller];
-        let id = one.id;
+        let entry = &mut self.callers[caller];
+        let id = entry.id;
         match verdict {
             Verdict::Ran { billed } => {
-                one.done = true;
+                entry.done = true;
                 if billed.0 > 0 {
                     self.billed.entry(id).or_default().push(billed.0);
                 }
-                assert!(self.ran_at.contains_key(&id), "{id} said to have run");
+                assert!(self.run_counts.contains_key(&id), "{id} said to have run");
             }
             Verdict::NotRun { reason, .. } => {
-                let ran = self.ran_at.get(&id).copied().unwrap_or(0);
+                let ran = self.run_counts.get(&id).copied().unwrap_or(0);
                 assert_eq!(
                     ran, 0,
                     "{id} said not to have run ({reason}), at {}",
@@ -84,12 +93,12 @@
         }
     }
 
-    /// What must hold at the end.
+    /// Checks the invariants at the end of a run.
     ///
-    /// Returned is the number of budgets whose bills are, to the token, what ran whole.
+    /// Returns the number of budgets billed exactly the tokens of the requests that ran, with none in doubt.
     pub fn check(&self) -> usize {
         for caller in &self.callers {
-            let ran = self.ran_at.get(&caller.id).copied().unwrap_or(0);
+            let ran = self.run_counts.get(&caller.id).copied().unwrap_or(0);
             assert!(
                 caller.repeatable || ran <= 1,
                 "{} ran {ran} times",
@@ -100,7 +109,9 @@
         let state = live
             .max_by_key(|state| state.is_ready())
             .expect("a live node");
-        (0..3).filter(|one| self.check_budget(state, *one)).count()
+        (0..3)
+            .filter(|customer| self.check_budget(state, *customer))
+            .count()
     }
 
     pub(super) fn check_budget(&self, state: &State, customer: usize) -> bool {
@@ -113,16 +124,21 @@
         let own = |id: &&Id| {
             self.callers
                 .iter()
-                .any(|one| one.id == **id && one.customer == customer)
+                .any(|caller| caller.id == **id && caller.customer == customer)
         };
-        let told: u64 = self
+        let reported: u64 = self
             .billed
             .iter()
             .filter(|(id, _)| own(id))
             .map(|(_, b)| b[0])
             .sum();
-        let ran: u64 = self.ran_at.keys().filter(own).map(|id| self.cost[id]).sum();
-        // What a dead holder had, and no witness could close, counts as spent.
+        let ran: u64 = self
+            .run_counts
+            .keys()
+            .filter(own)
+            .map(|id| self.cost[id])
+            .sum();
+        // A dead holder's grant that no witness could close counts as spent.
         let live: Vec<Incarnation> = self
             .nodes
             .iter()
@@ -137,8 +153,8 @@
         assert!(billed + doubt <= PREPAID);
         assert!(billed <= ran, "{name}: billed {billed}, ran {ran}");
         assert!(
-            told <= billed + doubt + lost,
-            "{name}: told {told}, billed {billed}, in doubt {doubt}, lost {lost}"
+            reported <= billed + doubt + lost,
+            "{name}: reported {reported}, billed {billed}, in doubt {doubt}, lost {lost}"
         );
         billed == ran && doubt == 0
     }
@@ -154,7 +170,7 @@
         class: "std".into(),
         kind: Kind::Engine,
         serves: "m".into(),
-        max_tokens: Tokens(MOST),
+        max_tokens: Tokens(COST_MAX),
         repeatable,
     }
 }
--- a/tests/common/world/log.rs
+++ b/tests/common/world/log.rs
@@ -1,4 +1,4 @@
-//! The log of a run: it loses, repeats, delays and drops records.
+//! The simulated log, which loses, repeats, delays and drops records.
 
 use super::*;
 
@@ -19,16 +19,16 @@
             {
                 batches.drain(..(through + 1 - *first) as usize);
                 *first = through + 1;
-                self.faults.note("trim");
+                self.faults.count("trim");
             }
         }
     }
 
-    pub(super) fn poll(&mut self, node: usize, life: u64) {
+    pub(super) fn poll(&mut self, node: usize, generation: u64) {
         let wait = self.rng.random_range(20..150);
-        self.after(wait, Event::Poll(node, life));
-        let up = self.log_up && !self.nodes[node].cut;
-        self.tell(node, Input::LogUp(up));
+        self.after(wait, Event::Poll(node, generation));
+        let up = self.log_up && !self.nodes[node].log_cut;
+        self.handle_input(node, Input::LogUp(up));
         if !up {
             return;
         }
@@ -47,7 +47,7 @@
             }
         }
         for (stream, first, batches) in reads {
-            self.tell(
+            self.handle_input(
                 node,
                 Input::Read {
                     stream,
@@ -58,14 +58,14 @@
         }
     }
 
-    pub(super) fn append(&mut self, node: usize, life: u64, stream: Stream, batch: Batch) {
+    pub(super) fn append(&mut self, node: usize, generation: u64, stream: Stream, batch: Batch) {
         if !self.log_up {
-            if self.nodes[node].life == life {
+            if self.nodes[node].generation == generation {
                 self.after(
                     1,
                     Event::ToNode(
                         node,
-                        life,
+                        generation,
                         Input::Appended {
                             stream,
                             taken: false,
@@ -81,7 +81,7 @@
                 2,
                 Event::ToNode(
                     node,
-                    life,
+                    generation,
                     Input::Appended {
                         stream,
                         taken: true,
--- a/tests/common/world/script.rs
+++ b/tests/common/world/script.rs
@@ -1,4 +1,4 @@
-//! Steps of a test that brings faults about itself, one by one.
+//! Steps for tests that inject faults one by one.
 
 use lanedeck::router::budget::Budget;
 
@@ -6,7 +6,7 @@
 use super::*;
 
 impl World {
-    /// Lets time pass.
+    /// Advances simulated time by `span` milliseconds.
     pub fn advance(&mut self, span: u64) {
         let until = self.now + span;
         while let Some(Reverse((at, key))) = self.queue.peek().copied()
@@ -20,23 +20,23 @@
         self.now = until;
     }
 
-    /// A caller that sends a request once and never comes back.
+    /// Sends a request from a caller that never retries.
     pub fn call(&mut self, node: usize, customer: usize) -> Id {
         let number = self.rng.random_range(0..1 << 30);
         let id = self.state(node).prefix().with_number(number);
-        let cost = self.rng.random_range(1..=MOST);
+        let cost = self.rng.random_range(1..=COST_MAX);
         self.cost.insert(id, cost);
         let ticket = Ticket(self.next);
-        let life = self.nodes[node].life;
+        let generation = self.nodes[node].generation;
         let spec = spec(ticket, id, customer, true);
-        self.after(1, Event::ToNode(node, life, Input::Arrive(spec)));
+        self.after(1, Event::ToNode(node, generation, Input::Arrive(spec)));
         id
     }
 
-    /// Lets time pass until a target has a request.
+    /// Advances simulated time until a target has received the request.
     pub fn advance_until_dispatched(&mut self, id: Id) {
         for _ in 0..1_000 {
-            if self.ran_at.contains_key(&id) {
+            if self.run_counts.contains_key(&id) {
                 return;
             }
             self.advance(5);
@@ -46,9 +46,9 @@
 
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].state = None;
-        self.nodes[node].life += 1;
+        self.nodes[node].generation += 1;
         self.nodes[node].frozen = false;
-        self.nodes[node].held.clear();
+        self.nodes[node].deferred.clear();
     }
 
     pub fn freeze(&mut self, node: usize, span: u64) {
@@ -57,14 +57,14 @@
     }
 
     pub fn stop(&mut self, node: usize) {
-        self.tell(node, Input::Stop);
+        self.handle_input(node, Input::Stop);
     }
 
     pub fn state(&self, node: usize) -> &State {
         self.nodes[node].state.as_ref().expect("a live node")
     }
 
-    /// A customer's budget, as a node sees it.
+    /// A customer's budget in a node's ledger.
     pub fn budget(&self, node: usize, customer: usize) -> &Budget {
         let name = format!("c{customer}");
         let Stream::Shard(shard) = Stream::of_customer(&name) else {
@@ -74,7 +74,7 @@
         ledger.budget(ledger.find(&name).unwrap()).unwrap()
     }
 
-    /// The node that a customer's ledger has as the witness of another.
+    /// The node that a customer's ledger names as a node's witness.
     pub fn witness_of(&self, node: usize, customer: usize) -> usize {
         let Stream::Shard(shard) = Stream::of_customer(&format!("c{customer}")) else {
             unreachable!()
@@ -89,7 +89,7 @@
         (0..NODES).find(is_it).expect("a witness that lives")
     }
 
-    /// What each request cost the target that ran it.
+    /// Cost of a request in tokens.
     pub fn cost_of(&self, id: Id) -> Tokens {
         Tokens(self.cost[&id])
     }
--- a/tests/common/world/setup.rs
+++ b/tests/common/world/setup.rs
@@ -1,4 +1,4 @@
-//! What a run begins with: classes, customers, targets and budgets.
+//! Initial configuration of a run: classes, customers, targets and budgets.
 
 use super::*;
 
