--- a/tests/common/area.rs
+++ b/tests/common/area.rs
@@ -100,7 +100,7 @@
         router_options: &[&str],
         engine_options: &[&str],
     ) -> Self {
-        let own = |options: &[&str]| options.iter().map(|one| (*one).to_owned()).collect();
+        let own = |options: &[&str]| options.iter().map(|option| (*option).to_owned()).collect();
         Self::with_setup(Setup {
             engines,
             services: 1,
@@ -139,8 +139,8 @@
             options: setup.router_options,
             logs: setup.logs,
         };
-        for (place, (entry, peer)) in setup.routers.into_iter().enumerate() {
-            let router = area.router(place, entry, peer);
+        for (index, (entry, peer)) in setup.routers.into_iter().enumerate() {
+            let router = area.router(index, entry, peer);
             area.routers.push(router);
         }
         area.list_hosts(&[]);
@@ -149,7 +149,7 @@
         area
     }
 
-    /// Waits until every router has read the log, has a witness, and sees all others as well.
+    /// Waits until every router has read the log, has a witness, and reports all others with the standing `Well`.
     pub fn wait_ready(&self) {
         let routers = self.routers.len();
         let knows_all = |status: &Value| {
@@ -179,26 +179,26 @@
     }
 
     /// Starts a router at an index, on free ports.
-    pub fn start_router(&mut self, place: usize) {
-        let router = self.router(place, ANY_PORT, ANY_PORT);
-        if place < self.routers.len() {
-            self.routers[place] = router;
+    pub fn start_router(&mut self, index: usize) {
+        let router = self.router(index, ANY_PORT, ANY_PORT);
+        if index < self.routers.len() {
+            self.routers[index] = router;
         } else {
             self.routers.push(router);
         }
     }
 
-    fn router(&self, place: usize, entry: SocketAddr, peer: SocketAddr) -> Process {
-        let kept = |folder: &PathBuf| LogFile::kept(folder, &format!("r{place}"));
+    fn router(&self, index: usize, entry: SocketAddr, peer: SocketAddr) -> Process {
+        let kept = |folder: &PathBuf| LogFile::kept(folder, &format!("r{index}"));
         let log = self
             .logs
             .as_ref()
             .map_or_else(|| LogFile::new("router"), kept);
-        Process::start(&self.router_args(place, entry, peer), log)
+        Process::start(&self.router_args(index, entry, peer), log)
     }
 
-    fn router_args(&self, place: usize, entry: SocketAddr, peer: SocketAddr) -> Vec<String> {
-        let hall = ["nacka", "solna", "kista"][place % 3];
+    fn router_args(&self, index: usize, entry: SocketAddr, peer: SocketAddr) -> Vec<String> {
+        let hall = ["nacka", "solna", "kista"][index % 3];
         let mut args = vec![
             "router".to_owned(),
             format!("--entry={entry}"),
@@ -214,10 +214,10 @@
     }
 
     /// Kills a router and restarts it on the same addresses.
-    pub fn restart_router(&mut self, place: usize) {
-        let (entry, peer) = (self.routers[place].address, self.routers[place].peer);
-        self.routers[place].kill();
-        self.routers[place] = self.router(place, entry, peer);
+    pub fn restart_router(&mut self, index: usize) {
+        let (entry, peer) = (self.routers[index].address, self.routers[index].peer);
+        self.routers[index].kill();
+        self.routers[index] = self.router(index, entry, peer);
     }
 
     /// Sets the host list to all routers; those in `leaving` are marked as leaving.
@@ -226,8 +226,8 @@
             .routers
             .iter()
             .enumerate()
-            .map(|(place, router)| {
-                json!({"address": router.peer, "leaving": leaving.contains(&place)})
+            .map(|(index, router)| {
+                json!({"address": router.peer, "leaving": leaving.contains(&index)})
             })
             .collect();
         self.post(self.hosts.address, "/v1/hosts", "", &json!(hosts));
@@ -246,17 +246,17 @@
             self.put("customer", name, &customer);
             self.budget(name, name, PREPAID);
         }
-        for (place, engine) in self.engines.iter().enumerate() {
+        for (index, engine) in self.engines.iter().enumerate() {
             self.put(
                 "target",
-                &format!("engine-{place}"),
+                &format!("engine-{index}"),
                 &target(engine, "engine", "assistant"),
             );
         }
-        for (place, service) in self.services.iter().enumerate() {
+        for (index, service) in self.services.iter().enumerate() {
             self.put(
                 "target",
-                &format!("tickets-{place}"),
+                &format!("tickets-{index}"),
                 &target(service, "service", "tickets"),
             );
         }
@@ -323,7 +323,10 @@
     pub fn wait_same(&self) {
         self.wait("the same offsets", |area| {
             let all = area.statuses();
-            !all.is_empty() && all.iter().all(|one| one["applied"] == all[0]["applied"])
+            !all.is_empty()
+                && all
+                    .iter()
+                    .all(|status| status["applied"] == all[0]["applied"])
         });
     }
 
@@ -408,7 +411,9 @@
         let to = self.routers[router].address;
         let answer = self.get(to, "/v1/entry", &key).json();
         let all = answer["use"].as_array().cloned().unwrap_or_default();
-        let own = all.into_iter().find(|one| one["address"] == to.to_string());
+        let own = all
+            .into_iter()
+            .find(|entry| entry["address"] == to.to_string());
         own.expect("every router is named")["prefix"]
             .as_str()
             .unwrap()
@@ -463,7 +468,7 @@
 pub fn words(content: &str, tokens: u64) -> Vec<String> {
     let prompt = format!("user: {content}\n");
     (0..tokens)
-        .map(|place| lanedeck::standin::engine::word(&prompt, place))
+        .map(|index| lanedeck::standin::engine::word(&prompt, index))
         .collect()
 }
 
--- a/tests/common/world.rs
+++ b/tests/common/world.rs
@@ -420,7 +420,7 @@
             }
             Action::Inquire { id, request, .. } => {
                 if self.run_counts.contains_key(&request) {
-                    self.faults.count("target told a fate");
+                    self.faults.count("target inquiry answered");
                     let used = Tokens(self.cost[&request]);
                     self.after(
                         5,
@@ -435,14 +435,14 @@
                 )
             }
             Action::Exit => {
-                self.faults.count("stop done");
+                self.faults.count("planned stop completed");
                 self.nodes[node].state = None;
                 self.nodes[node].generation += 1;
                 self.after(500, Event::Start(node));
             }
             Action::IncarnationRenewed { incarnation } => {
                 self.trace(|| format!("renewed node={node} generation={generation} {incarnation}"));
-                self.faults.count("closed while alive");
+                self.faults.count("incarnation closed while alive");
             }
             Action::Forget(_)
             | Action::Planned { .. }
--- a/tests/common/world/callers.rs
+++ b/tests/common/world/callers.rs
@@ -79,13 +79,13 @@
                 if billed.0 > 0 {
                     self.billed.entry(id).or_default().push(billed.0);
                 }
-                assert!(self.run_counts.contains_key(&id), "{id} said to have run");
+                assert!(self.run_counts.contains_key(&id), "{id} reported as run");
             }
             Verdict::NotRun { reason, .. } => {
                 let ran = self.run_counts.get(&id).copied().unwrap_or(0);
                 assert_eq!(
                     ran, 0,
-                    "{id} said not to have run ({reason}), at {}",
+                    "{id} reported as not run ({reason}), at {}",
                     self.now
                 );
             }
--- a/tests/common/world/script.rs
+++ b/tests/common/world/script.rs
@@ -82,11 +82,11 @@
         let state = self.state(node);
         let member = state.ledger(shard).sequence().member(state.incarnation());
         let witness = member.witness.expect("a witness in the ledger");
-        let is_it = |one: &usize| {
-            let state = self.nodes[*one].state.as_ref();
+        let is_witness = |other: &usize| {
+            let state = self.nodes[*other].state.as_ref();
             state.is_some_and(|state| state.incarnation() == witness)
         };
-        (0..NODES).find(is_it).expect("a witness that lives")
+        (0..NODES).find(is_witness).expect("a witness that lives")
     }
 
     /// Cost of a request in tokens.
--- a/tests/common/world/setup.rs
+++ b/tests/common/world/setup.rs
@@ -12,9 +12,9 @@
                 patience: Millis(8_000),
             }),
         )];
-        for one in 0..3 {
+        for number in 0..3 {
             changes.push(put(
-                Key::Customer(format!("c{one}")),
+                Key::Customer(format!("c{number}")),
                 Object::Customer(Customer {
                     key_hash: String::new(),
                     concurrency: 50,
@@ -22,9 +22,9 @@
                 }),
             ));
             changes.push(put(
-                Key::Target(format!("t{one}")),
+                Key::Target(format!("t{number}")),
                 Object::Target(Target {
-                    address: address(one, 9_000),
+                    address: address(number, 9_000),
                     kind: Kind::Engine,
                     serves: "m".into(),
                     hall: "h".into(),
@@ -36,8 +36,8 @@
             ));
         }
         self.preset(Stream::Config, changes);
-        for one in 0..3 {
-            let customer = format!("c{one}");
+        for number in 0..3 {
+            let customer = format!("c{number}");
             let stream = Stream::of_customer(&customer);
             let terms = Terms {
                 customer: customer.clone(),
