--- a/tests/deployment/server.rs
+++ b/tests/deployment/server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for stand-ins.
+//! Minimal HTTP/1.1 server for the stand-ins.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -18,37 +18,39 @@
 use tokio::task::JoinHandle;
 use tokio_util::sync::CancellationToken;
 
-/// The connection is closed without an answer, or in the middle of one.
+/// Error that makes the server close the connection without an answer or within one.
 #[derive(Clone, Copy, Debug)]
-pub struct Gone;
+pub struct ConnectionClosed;
 
-impl std::fmt::Display for Gone {
+impl std::fmt::Display for ConnectionClosed {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("gone")
+        f.write_str("connection closed")
     }
 }
 
-impl std::error::Error for Gone {}
+impl std::error::Error for ConnectionClosed {}
 
 pub enum Body {
     Whole(Full<Bytes>),
-    Stream(BoxStream<'static, Result<Bytes, Gone>>),
+    Stream(BoxStream<'static, Result<Bytes, ConnectionClosed>>),
 }
 
 impl Body {
-    pub fn stream(stream: impl Stream<Item = Result<Bytes, Gone>> + Send + 'static) -> Self {
+    pub fn stream(
+        stream: impl Stream<Item = Result<Bytes, ConnectionClosed>> + Send + 'static,
+    ) -> Self {
         Self::Stream(stream.boxed())
     }
 }
 
 impl hyper::body::Body for Body {
     type Data = Bytes;
-    type Error = Gone;
+    type Error = ConnectionClosed;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Gone>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, ConnectionClosed>>> {
         match self.get_mut() {
             Self::Whole(body) => Pin::new(body)
                 .poll_frame(context)
@@ -62,11 +64,11 @@
 
 pub type Reply = Response<Body>;
 
-/// Serves on a free port of loopback until the runtime ends. The handler is told the address.
+/// Serves on a free loopback port until the runtime ends. The handler receives the listening address.
 pub async fn serve<F, A>(handler: F) -> SocketAddr
 where
     F: Fn(SocketAddr, hyper::Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Reply, Gone>> + Send + 'static,
+    A: Future<Output = Result<Reply, ConnectionClosed>> + Send + 'static,
 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
@@ -74,35 +76,35 @@
     address
 }
 
-/// Serves on a listener for as long as a process lives: at its end all connections are closed at once, and the port
-/// unless somebody waits for the listener.
+/// Serves on a listener until `process_end` is cancelled, which closes all connections at once. The port closes too,
+/// unless the caller awaits the returned listener.
 pub fn serve_on<F, A>(
     listener: TcpListener,
     handler: F,
-    life: CancellationToken,
+    process_end: CancellationToken,
 ) -> JoinHandle<TcpListener>
 where
     F: Fn(SocketAddr, hyper::Request<Incoming>) -> A + Clone + Send + Sync + 'static,
-    A: Future<Output = Result<Reply, Gone>> + Send + 'static,
+    A: Future<Output = Result<Reply, ConnectionClosed>> + Send + 'static,
 {
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         loop {
             let accepted = tokio::select! {
                 accepted = listener.accept() => accepted,
-                () = life.cancelled() => return listener,
+                () = process_end.cancelled() => return listener,
             };
             let Ok((stream, _)) = accepted else {
                 continue;
             };
             let handler = handler.clone();
-            let life = life.clone();
+            let process_end = process_end.clone();
             tokio::spawn(async move {
                 let service = service_fn(move |request| handler(address, request));
                 let io = TokioIo::new(stream);
                 tokio::select! {
                     _ = http1::Builder::new().serve_connection(io, service) => {}
-                    () = life.cancelled() => {}
+                    () = process_end.cancelled() => {}
                 }
             });
         }
