--- a/src/router/host/member.rs
+++ b/src/router/host/member.rs
@@ -1,8 +1,8 @@
-//! Membership from two sources that both lag: the platform's host list, and heartbeats.
+//! Membership from two sources that both lag: the platform's host list, and gossiped heartbeats.
 //!
-//! A router tells a constant number of others each round what it knows of a few. A host is used
-//! while its own counter goes on, whether or not the list still shows it; a host that the list
-//! calls leaving is not given to callers. Nothing about money follows from any of this.
+//! In each round a router sends what it knows of a few routers to a constant number of others. A host is used
+//! while its heartbeat counter increases, whether or not the list still shows it; a host that the list marks as
+//! leaving is not given to callers. No accounting decision depends on membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -15,81 +15,82 @@
 use crate::router::key::Incarnation;
 use crate::units::{Millis, Offset};
 
-/// Others told in a round.
+/// Random recipients of a gossip round.
 const FAN_OUT: usize = 3;
-/// Hosts told of in a message.
-const TOLD_MAX: usize = 8;
-/// A host whose counter has stood still for this long, in a small fleet, is not given to callers.
+/// Most other hosts, and most earlier incarnations, described in a gossip message.
+const GOSSIP_PEERS_MAX: usize = 8;
+/// In a small fleet, a host whose counter has not increased for longer than this is not given to callers.
 const ILL_AFTER: Millis = Millis(3_000);
-/// What each known host adds to that: news of one reaches a given other less often among many.
-const ILL_PER_PEER: Millis = Millis(30);
-/// A host whose counter has stood still for this long is forgotten.
+/// Added to [`ILL_AFTER`] for each known host: in a larger fleet, news of a host reaches a given other less often.
+const ILL_AFTER_PER_PEER: Millis = Millis(30);
+/// A host whose counter has not increased for this long is forgotten.
 const FORGET_AFTER: Millis = Millis(60_000);
-/// Addresses in an entry answer for an ordinary customer.
-const ENTRIES: usize = 3;
+/// Addresses in an entry answer for a customer with a share of 1.
+const ENTRY_HOSTS: usize = 3;
 
-/// What a router says of itself.
+/// A router's description of itself, as gossiped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Peer {
-    /// The process.
+    /// Incarnation of its process.
     pub incarnation: Incarnation,
-    /// Goes up with each round.
+    /// Heartbeat counter; increases with each round.
     pub counter: u64,
-    /// Where callers connect.
+    /// Address for callers.
     pub entry: SocketAddr,
-    /// Where other routers connect.
+    /// Address for other routers.
     pub address: SocketAddr,
     /// Its data hall.
     pub hall: String,
     /// Its region.
     pub region: String,
-    /// Epoch of the ids that it gives out.
+    /// Epoch in the request ids that it gives out.
     pub epoch: u32,
     /// Whether it is about to stop.
     pub leaving: bool,
     /// Its witness.
     pub witness: Option<Incarnation>,
-    /// How far it has read the configuration.
+    /// Last offset of the configuration stream that it has applied.
     pub applied: Offset,
 }
 
-/// How a peer stands.
+/// State of a peer as this router sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Its counter goes on.
+    /// Its counter increases.
     Well,
-    /// It says, or the host list says, that it leaves.
+    /// It is leaving, by its own report or by the host list.
     Leaving,
-    /// Its counter stands still.
+    /// Its counter has stopped increasing.
     Ill,
 }
 
 #[derive(Clone, Debug)]
 struct Known {
     peer: Peer,
-    moved: Millis,
+    /// When its counter was last seen to increase.
+    advanced_at: Millis,
 }
 
-/// All that a router knows of the others and of itself.
+/// A router's view of the fleet: itself and its peers.
 #[derive(Debug)]
 pub struct Membership {
     me: Peer,
-    /// Earlier incarnations of this process that are still witnesses; they are told of as leaving.
-    past: Vec<Peer>,
+    /// Earlier incarnations of this process that are still witnesses; they are gossiped as leaving.
+    past_incarnations: Vec<Peer>,
     known: BTreeMap<Incarnation, Known>,
     listed: BTreeSet<SocketAddr>,
-    leaving: BTreeSet<SocketAddr>,
+    listed_leaving: BTreeSet<SocketAddr>,
 }
 
 impl Membership {
-    /// Knows only itself.
+    /// A membership that consists of this router only.
     pub fn new(me: Peer) -> Self {
         Self {
             me,
-            past: Vec::new(),
+            past_incarnations: Vec::new(),
             known: BTreeMap::new(),
             listed: BTreeSet::new(),
-            leaving: BTreeSet::new(),
+            listed_leaving: BTreeSet::new(),
         }
     }
 
@@ -98,87 +99,103 @@
         &self.me
     }
 
-    /// This process goes on under a new incarnation.
+    /// Continues this process under a new incarnation, which has no witness and starts at epoch 1.
     pub fn renew(&mut self, incarnation: Incarnation) {
-        let mut past = self.me.clone();
-        past.leaving = true;
-        self.past.push(past);
+        let mut previous = self.me.clone();
+        previous.leaving = true;
+        self.past_incarnations.push(previous);
         self.me.incarnation = incarnation;
         self.me.witness = None;
         self.me.epoch = 1;
     }
 
-    /// Tells no more of earlier incarnations that `keep` does not hold for.
+    /// Stops gossiping earlier incarnations that do not match `keep`.
     pub fn drop_past(&mut self, keep: impl Fn(Incarnation) -> bool) {
-        self.past.retain(|one| keep(one.incarnation));
+        self.past_incarnations.retain(|peer| keep(peer.incarnation));
     }
 
-    /// This router, to be changed.
+    /// This router, mutable.
     pub fn me_mut(&mut self) -> &mut Peer {
         &mut self.me
     }
 
-    /// The platform's host list: peer addresses, and whether each leaves. A list that is out
-    /// leaves what was known.
+    /// Replaces the platform's host list: peer addresses, and whether each is leaving. While the list is
+    /// unavailable, the last one stays.
     pub fn list(&mut self, hosts: &[(SocketAddr, bool)]) {
         self.listed = hosts.iter().map(|(address, _)| *address).collect();
         let leaving = hosts.iter().filter(|(_, leaving)| *leaving);
-        self.leaving = leaving.map(|(address, _)| *address).collect();
+        self.listed_leaving = leaving.map(|(address, _)| *address).collect();
     }
 
-    /// Somebody tells of a peer.
+    /// Takes in a peer's description from a gossip message. Only a higher counter replaces what is known, and
+    /// descriptions of this process are ignored.
     pub fn heard(&mut self, now: Millis, peer: &Peer) {
-        let mut ours = self.past.iter().chain([&self.me]);
-        if ours.any(|one| one.incarnation == peer.incarnation) {
+        let mut own = self.past_incarnations.iter().chain([&self.me]);
+        if own.any(|own| own.incarnation == peer.incarnation) {
             return;
         }
         match self.known.get_mut(&peer.incarnation) {
             Some(known) if known.peer.counter < peer.counter => {
                 known.peer = peer.clone();
-                known.moved = now;
+                known.advanced_at = now;
             }
             Some(_) => {}
             None => {
                 let peer = peer.clone();
                 let incarnation = peer.incarnation;
-                self.known.insert(incarnation, Known { peer, moved: now });
+                self.known.insert(
+                    incarnation,
+                    Known {
+                        peer,
+                        advanced_at: now,
+                    },
+                );
             }
         }
     }
 
-    /// Starts a round: whom to tell.
+    /// Starts a gossip round and returns the recipients' addresses: a random few, and this router's witness.
     pub fn round<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<SocketAddr> {
-        for one in self.past.iter_mut().chain([&mut self.me]) {
-            one.counter += 1;
+        for own in self.past_incarnations.iter_mut().chain([&mut self.me]) {
+            own.counter += 1;
         }
         self.known
-            .retain(|_, known| now < known.moved + FORGET_AFTER);
+            .retain(|_, known| now < known.advanced_at + FORGET_AFTER);
         let known = self.known.values().map(|known| known.peer.address);
         let all: BTreeSet<SocketAddr> = known.chain(self.listed.iter().copied()).collect();
         let others = all
             .into_iter()
             .filter(|address| *address != self.me.address);
-        let mut told = others.sample(rng, FAN_OUT);
+        let mut recipients = others.sample(rng, FAN_OUT);
         let witness = self.me.witness.and_then(|witness| self.address_of(witness));
         if let Some(witness) = witness
-            && !told.contains(&witness)
+            && !recipients.contains(&witness)
         {
-            told.push(witness);
+            recipients.push(witness);
         }
-        told
+        recipients
     }
 
-    /// What to tell: this router first, then its earlier incarnations, then a few others that are well.
+    /// The content of a gossip message: this router first, then its earlier incarnations, then a few others whose
+    /// counters increase.
     pub fn tell<R: Rng>(&self, now: Millis, rng: &mut R) -> Vec<Peer> {
         let ill_after = self.ill_after();
         let well = self
             .known
             .values()
-            .filter(|known| now <= known.moved + ill_after);
-        let mut told = vec![self.me.clone()];
-        told.extend(self.past.iter().cloned().sample(rng, TOLD_MAX));
-        told.extend(well.map(|known| known.peer.clone()).sample(rng, TOLD_MAX));
-        told
+            .filter(|known| now <= known.advanced_at + ill_after);
+        let mut peers = vec![self.me.clone()];
+        peers.extend(
+            self.past_incarnations
+                .iter()
+                .cloned()
+                .sample(rng, GOSSIP_PEERS_MAX),
+        );
+        peers.extend(
+            well.map(|known| known.peer.clone())
+                .sample(rng, GOSSIP_PEERS_MAX),
+        );
+        peers
     }
 
     /// A peer by incarnation.
@@ -186,53 +203,54 @@
         self.known.get(&incarnation).map(|known| &known.peer)
     }
 
-    /// Where a peer's other routers reach it.
+    /// A peer's address for other routers.
     pub fn address_of(&self, incarnation: Incarnation) -> Option<SocketAddr> {
         self.peer(incarnation).map(|peer| peer.address)
     }
 
     fn ill_after(&self) -> Millis {
-        ILL_AFTER + Millis(ILL_PER_PEER.0 * self.known.len() as u64)
+        ILL_AFTER + Millis(ILL_AFTER_PER_PEER.0 * self.known.len() as u64)
     }
 
-    fn stand(&self, now: Millis, known: &Known) -> Standing {
-        if now > known.moved + self.ill_after() {
+    fn standing(&self, now: Millis, known: &Known) -> Standing {
+        if now > known.advanced_at + self.ill_after() {
             Standing::Ill
-        } else if known.peer.leaving || self.leaving.contains(&known.peer.address) {
+        } else if known.peer.leaving || self.listed_leaving.contains(&known.peer.address) {
             Standing::Leaving
         } else {
             Standing::Well
         }
     }
 
-    /// Whether a peer is still there and says, or the host list says, that it leaves.
+    /// Whether a peer's counter increases and it is leaving, by its own report or by the host list.
     pub fn is_leaving(&self, now: Millis, incarnation: Incarnation) -> bool {
         let known = self.known.get(&incarnation);
-        known.is_some_and(|known| self.stand(now, known) == Standing::Leaving)
+        known.is_some_and(|known| self.standing(now, known) == Standing::Leaving)
     }
 
-    /// Whether the host list calls this router leaving.
+    /// Whether this router is leaving, by its own state or by the host list.
     pub fn am_leaving(&self) -> bool {
-        self.me.leaving || self.leaving.contains(&self.me.address)
+        self.me.leaving || self.listed_leaving.contains(&self.me.address)
     }
 
-    /// Peers that are well; of two processes seen at one address, the one that moved last.
+    /// Peers with the standing [`Standing::Well`]; of two processes at one address, the one whose counter increased
+    /// last.
     pub fn well(&self, now: Millis) -> Vec<&Peer> {
         let mut by_address: BTreeMap<SocketAddr, &Known> = BTreeMap::new();
         for known in self.known.values() {
-            if self.stand(now, known) != Standing::Well {
+            if self.standing(now, known) != Standing::Well {
                 continue;
             }
             let slot = by_address.entry(known.peer.address).or_insert(known);
-            if slot.moved < known.moved {
+            if slot.advanced_at < known.advanced_at {
                 *slot = known;
             }
         }
         by_address.into_values().map(|known| &known.peer).collect()
     }
 
-    /// Whom this router asks to be its witness: well, in another hall of its region if there is
-    /// one, else elsewhere in the region, else anybody. `fits` rules out those that failed.
+    /// The peer that this router should ask to be its witness: one that is well and matches `fits`, preferably in
+    /// another hall of its region, else in its own hall, else in another region. `fits` rules out peers that failed.
     pub fn witness(&self, now: Millis, fits: impl Fn(&&Peer) -> bool) -> Option<&Peer> {
         let name = self.me.incarnation.to_string();
         let well = self.well(now).into_iter().filter(fits);
@@ -244,28 +262,28 @@
         ranked.into_iter().min_by_key(distance)
     }
 
-    /// The hosts that a customer should use, best first. `share` widens the set for customers
-    /// that send much.
+    /// The hosts that a customer should use, best first. `share` multiplies their number, for customers with much
+    /// traffic.
     pub fn entries(&self, now: Millis, customer: &str, share: usize) -> Vec<&Peer> {
         let mut hosts = self.well(now);
         if !self.am_leaving() {
             hosts.push(&self.me);
         }
         let mut ranked = rank(customer, hosts.into_iter(), |peer| host_seed(peer.entry));
-        ranked.truncate(ENTRIES * share.max(1));
+        ranked.truncate(ENTRY_HOSTS * share.max(1));
         ranked
     }
 
-    /// All that is known, for status reports.
+    /// All known peers with their standings, for status reports.
     pub fn peers(&self, now: Millis) -> Vec<(&Peer, Standing)> {
         let known = self.known.values();
         known
-            .map(|known| (&known.peer, self.stand(now, known)))
+            .map(|known| (&known.peer, self.standing(now, known)))
             .collect()
     }
 }
 
-/// A host keeps its place when its process is replaced, so the seed is its address.
+/// The seed is derived from the address, so that a host keeps its rank when its process is replaced.
 fn host_seed(address: SocketAddr) -> u64 {
     super::score(&address.to_string(), 0)
 }
--- a/src/router/host/mod.rs
+++ b/src/router/host/mod.rs
@@ -1,4 +1,4 @@
-//! Entry hosts: which of them are there, and which a customer should use.
+//! Entry hosts: which are available, and which a customer should use.
 
 mod member;
 mod placement;
--- a/src/router/log/follower.rs
+++ b/src/router/log/follower.rs
@@ -1,4 +1,4 @@
-//! Follows one stream: applies batches in order of offset, and starts from a checkpoint.
+//! Folds one stream into a state: applies batches in offset order, or resumes from a checkpoint.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -9,31 +9,31 @@
 use crate::units::Offset;
 use crate::util::{decode, encode};
 
-/// A state that is a pure fold over a stream.
+/// A state computed from a stream by a pure fold.
 pub trait Fold: Serialize + DeserializeOwned + Default {
-    /// Applies one record of a batch at `offset`.
+    /// Applies one record from the batch at `offset`.
     fn apply(
         &mut self,
         offset: Offset,
         writer: Incarnation,
         record: &Record,
     ) -> Result<(), Violation>;
-    /// Takes `seq` of `writer` if it is new.
+    /// Accepts sequence number `seq` of `writer` if it is the writer's next; returns whether it was accepted.
     fn admit(&mut self, writer: Incarnation, seq: u64) -> bool;
 }
 
-/// What a call of [`Follower::take`] found.
+/// The result of one call of [`Follower::take`].
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Invariants that did not hold.
+    /// Invariants found broken.
     pub violations: Vec<Violation>,
-    /// A mark was reached; the state there, ready to be written as a checkpoint.
+    /// The state at the last mark reached, ready to be written as a checkpoint.
     pub marked: Option<Checkpoint>,
-    /// A checkpoint by somebody was read.
+    /// Whether a checkpoint from any writer was read.
     pub checkpointed: bool,
 }
 
-/// A stream's state with the offset that it has reached.
+/// The folded state of a stream and the offset it has reached.
 #[derive(Debug, Default)]
 pub struct Follower<S> {
     state: S,
@@ -48,17 +48,17 @@
         &self.state
     }
 
-    /// The last offset applied; it never goes back.
+    /// The last offset applied; it never decreases.
     pub fn applied(&self) -> Offset {
         self.applied
     }
 
-    /// Appends read since the last mark.
+    /// Batches applied since the last mark.
     pub fn since_mark(&self) -> u64 {
         self.since_mark
     }
 
-    /// Where to read on.
+    /// The next offset to read.
     pub fn next(&self) -> Offset {
         self.applied + Offset(1)
     }
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Takes over a peer's state where it is ahead of ours and whole.
+    /// Replaces the state by a checkpoint's if the checkpoint is ahead of it, matches its digest and decodes.
+    /// Returns whether it was replaced.
     pub fn restore(&mut self, checkpoint: &Checkpoint) -> bool {
         if checkpoint.through <= self.applied || digest(&checkpoint.state) != checkpoint.digest {
             return false;
@@ -87,9 +88,11 @@
         true
     }
 
-    /// Applies what follows on from the last offset; `first` is the oldest that the log still has.
+    /// Applies the batches that continue from the last applied offset; `first` is the oldest offset that the log
+    /// still retains.
     ///
-    /// A reader behind the log's retention looks for a checkpoint first and goes on from there.
+    /// A follower behind the log's retention first restores the newest usable checkpoint among `batches` and
+    /// continues from there; without one it applies nothing.
     pub fn take(&mut self, first: Offset, batches: &[(Offset, Batch)]) -> Progress {
         let mut progress = Progress::default();
         if first > self.next() {
@@ -130,7 +133,7 @@
             }
         }
         if marked {
-            // At the batch's end, since a restored reader goes on with the next one.
+            // Taken after the whole batch, because a restored follower continues with the next batch.
             let checkpoint = self.snapshot();
             self.mark = Some(checkpoint.clone());
             self.since_mark = 0;
--- a/src/router/log/mod.rs
+++ b/src/router/log/mod.rs
@@ -1,8 +1,8 @@
-//! What is written to the platform's log, and how a stream of it is followed.
+//! Records of the platform's log, appending them, and following a stream.
 //!
-//! The log is the only arbiter. Customers, classes and targets live in the configuration stream;
-//! budgets live in shard streams, so that a router reads only the shards that it serves. Each
-//! aggregate lives in exactly one stream, and its state is a pure fold over that stream.
+//! The log's order alone decides between concurrent writers. Customers, classes and targets are in the
+//! configuration stream; budgets are in shard streams, so that a router reads only the shards that it serves.
+//! Each aggregate is in exactly one stream, and its state is a pure fold over that stream.
 
 mod follower;
 mod record;
--- a/src/router/log/record.rs
+++ b/src/router/log/record.rs
@@ -1,4 +1,4 @@
-//! Records of the log and the batches that carry them.
+//! Log records and the batches that carry them.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
@@ -7,107 +7,107 @@
 use crate::router::key::{BudgetKey, Incarnation};
 use crate::units::{Offset, Tokens};
 
-/// A request that was open when its holder was closed.
+/// A request that was not settled when its holder was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Open {
-    /// The request's number within its holder.
+    /// Number of the request within its holder.
     pub nonce: u64,
-    /// The most it can cost.
+    /// Tokens reserved: the most that it can be billed.
     pub reserved: Tokens,
 }
 
-/// What a witness knows of one budget of a holder that it closes.
+/// A witness's account of one budget of a holder that it closes.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Closed {
     /// The budget.
     pub budget: BudgetKey,
-    /// All that the holder has settled of it.
+    /// Total that the holder has settled from it.
     pub settled: Tokens,
-    /// Requests dispatched and not settled.
+    /// Requests dispatched but not settled.
     pub open: Vec<Open>,
 }
 
-/// A stream's folded state through an offset.
+/// A stream's folded state up to and including an offset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Offset of the mark that it was taken at.
+    /// Offset of the batch with the mark at which it was taken.
     pub through: Offset,
     /// Digest of `state`.
     pub digest: u64,
-    /// The encoded fold.
+    /// The encoded state.
     pub state: Vec<u8>,
 }
 
-/// One entry of a batch.
+/// A change written to a stream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// The writer asks for a part of a budget: `ask` if it is there, else what is left.
+    /// The writer requests a grant from a budget: `ask` if that much is left, else the remainder.
     Grant {
         /// The budget.
         budget: BudgetKey,
-        /// Tokens wanted.
+        /// Tokens requested.
         ask: Tokens,
     },
-    /// The writer names its witness; `None` means that nobody can close it.
+    /// The writer names its witness; with `None` nobody can close the writer.
     Witness {
         /// The new witness.
         witness: Option<Incarnation>,
     },
-    /// All that the writer has settled of a budget so far.
+    /// Total that the writer has settled from a budget so far.
     Settle {
         /// The budget.
         budget: BudgetKey,
-        /// Running total, not a difference.
+        /// Running total, not an increment.
         settled: Tokens,
     },
-    /// All that the writer has given back of a budget so far.
+    /// Total that the writer has returned to a budget so far.
     Return {
         /// The budget.
         budget: BudgetKey,
-        /// Running total, not a difference.
+        /// Running total, not an increment.
         returned: Tokens,
     },
-    /// The writer has stopped, owes nothing and holds nothing.
+    /// The writer has stopped, with everything settled and every grant returned.
     Leave,
-    /// A witness has closed a holder and acknowledges nothing more for it.
+    /// A witness has closed a holder and acknowledges no further notices from it.
     Close {
         /// The holder.
         holder: Incarnation,
-        /// One entry for each budget that the witness has seen it use.
+        /// One entry for each budget that the witness has seen the holder use.
         budgets: Vec<Closed>,
     },
-    /// The bill of a request that was in doubt.
+    /// The final bill of a request whose outcome was in doubt.
     Resolve {
         /// The closed holder.
         holder: Incarnation,
-        /// The request's number within it.
+        /// Number of the request within the holder.
         nonce: u64,
-        /// What it is billed, at most what was reserved.
+        /// Tokens billed, at most the reserved amount.
         billed: Tokens,
     },
-    /// A confirmed plan.
+    /// A plan that an operator has confirmed.
     Change(Plan),
-    /// Readers note the digest of their state here.
+    /// Every follower keeps its state and digest at this point, to compare with a later checkpoint.
     Mark,
     /// The state at an earlier mark.
     Checkpoint(Checkpoint),
 }
 
-/// A record with its place in the writer's sequence.
+/// A record with its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// One more than the writer's last in this stream.
+    /// One more than the writer's previous number in this stream.
     pub seq: u64,
     /// The record.
     pub record: Record,
 }
 
-/// What one append carries.
+/// The payload of one append.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Batch {
-    /// Who wrote it.
+    /// Incarnation that wrote it.
     pub writer: Incarnation,
-    /// In order of `seq`.
+    /// Entries in ascending order of `seq`.
     pub entries: Vec<Entry>,
 }
 
@@ -117,7 +117,7 @@
         crate::util::encode(self)
     }
 
-    /// Decodes a batch; `None` where the bytes are not one.
+    /// Decodes a batch; `None` if the bytes are not a valid batch.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         crate::util::decode(bytes)
     }
--- a/src/router/log/sequence.rs
+++ b/src/router/log/sequence.rs
@@ -1,4 +1,4 @@
-//! Who has written to a stream, and how far: the part of a fold that makes appends repeatable.
+//! The writers of a stream and their last sequence numbers: the part of a fold that makes appends idempotent.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +7,18 @@
 use crate::router::key::Incarnation;
 use crate::units::Offset;
 
-/// Writers remembered after they have left or were closed. One that is older than this many
-/// departures has no append under way any more.
+/// Writers remembered after they have left or were closed. A writer forgotten after this many later departures has
+/// no append in flight any more.
 const DEPARTED_MAX: usize = 4096;
 
-/// What the fold knows of one writer.
+/// State of one writer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The last sequence number applied.
     pub seq: u64,
-    /// Its witness, if it has named one.
+    /// Its witness, if it has one.
     pub witness: Option<Incarnation>,
-    /// Where it left or was closed.
+    /// Offset at which it left or was closed.
     pub gone: Option<Offset>,
 }
 
@@ -30,7 +30,7 @@
 }
 
 impl Sequence {
-    /// Takes `seq` if it is the writer's next.
+    /// Accepts `seq` if it is the writer's next number; returns whether it was accepted.
     pub fn admit(&mut self, writer: Incarnation, seq: u64) -> bool {
         let member = self.members.entry(writer).or_default();
         if seq != member.seq + 1 {
@@ -40,7 +40,7 @@
         true
     }
 
-    /// What is known of a writer.
+    /// State of a writer; the default for one that has not written.
     pub fn member(&self, writer: Incarnation) -> Member {
         self.members.get(&writer).copied().unwrap_or_default()
     }
@@ -50,12 +50,12 @@
         self.member(writer).gone.is_some()
     }
 
-    /// Names the writer's witness.
+    /// Sets the writer's witness.
     pub fn set_witness(&mut self, writer: Incarnation, witness: Option<Incarnation>) {
         self.members.entry(writer).or_default().witness = witness;
     }
 
-    /// The writer has left or was closed at `offset`.
+    /// Records that the writer left or was closed at `offset`, and forgets the oldest departed writer beyond the limit.
     pub fn depart(&mut self, writer: Incarnation, offset: Offset) {
         self.members.entry(writer).or_default().gone = Some(offset);
         self.departed.push_back(writer);
--- a/src/router/log/violation.rs
+++ b/src/router/log/violation.rs
@@ -1,4 +1,4 @@
-//! Invariants that did not hold, with the evidence.
+//! Broken invariants, with the evidence.
 
 use std::fmt;
 
@@ -6,37 +6,37 @@
 use crate::router::request::Id;
 use crate::units::{Offset, Tokens};
 
-/// A broken promise; logged as one event, after which what it touches is no longer served.
+/// A broken invariant. It is logged as one event, after which the affected objects are no longer served.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Parts of a budget do not add up to what was prepaid.
+    /// The parts of a budget do not add up to the prepaid amount.
     Conservation {
         /// The budget.
         budget: String,
-        /// What was prepaid.
+        /// Tokens prepaid.
         prepaid: Tokens,
         /// Sum of the parts.
         parts: Tokens,
     },
-    /// A holder settled or returned more than it was granted, or a total went back.
+    /// A holder settled or returned more than it was granted, or a running total decreased.
     Overdrawn {
         /// The budget.
         budget: String,
         /// The holder.
         holder: Incarnation,
     },
-    /// A request was to be billed a second time.
+    /// A record bills a request a second time.
     BilledTwice {
         /// The request.
         id: Id,
     },
-    /// Two readers folded the same stream to different states.
+    /// Two routers folded the same stream to different states.
     Digest {
         /// Offset of the mark.
         through: Offset,
-        /// Our digest.
+        /// This router's digest.
         ours: u64,
-        /// Theirs.
+        /// Digest in the checkpoint that was read.
         theirs: u64,
     },
 }
--- a/src/router/log/writer.rs
+++ b/src/router/log/writer.rs
@@ -1,4 +1,4 @@
-//! Group commit: one batch in flight a stream, repeated until it is read back.
+//! Group commit: at most one batch in flight per stream, resent until it is read back.
 
 use std::collections::VecDeque;
 
@@ -6,26 +6,26 @@
 use crate::router::key::Incarnation;
 use crate::units::Millis;
 
-/// An append unanswered for this long is sent again.
+/// An append that has not been read back for this long is sent again.
 const RESEND_AFTER: Millis = Millis(1_000);
-/// Records in one append.
+/// Most records in one append.
 const BATCH_MAX: usize = 256;
 
 /// The outbox of one stream.
 ///
-/// A record stays here until the fold has applied it. An append whose answer was lost is simply
-/// appended again: the fold ignores what it has seen.
+/// A record stays queued until the fold has applied it. An append whose response was lost is sent again: the fold
+/// ignores sequence numbers that it has already applied.
 #[derive(Clone, Debug)]
 pub struct Writer {
     writer: Incarnation,
-    next: u64,
-    /// The last number that was sent.
-    sent: u64,
-    waiting: VecDeque<Entry>,
-    /// When the oldest waiting record was first sent.
-    first_sent: Option<Millis>,
-    in_flight: Option<Millis>,
-    last_sent: Millis,
+    next_seq: u64,
+    /// The last sequence number that was sent.
+    last_sent_seq: u64,
+    pending: VecDeque<Entry>,
+    /// When the oldest pending record was first sent.
+    first_sent_at: Option<Millis>,
+    in_flight_since: Option<Millis>,
+    last_sent_at: Millis,
 }
 
 impl Writer {
@@ -33,90 +33,93 @@
     pub fn new(writer: Incarnation) -> Self {
         Self {
             writer,
-            next: 1,
-            sent: 0,
-            waiting: VecDeque::new(),
-            first_sent: None,
-            in_flight: None,
-            last_sent: Millis::ZERO,
+            next_seq: 1,
+            last_sent_seq: 0,
+            pending: VecDeque::new(),
+            first_sent_at: None,
+            in_flight_since: None,
+            last_sent_at: Millis::ZERO,
         }
     }
 
-    /// Queues a record; its sequence number is returned.
+    /// Queues a record and returns its sequence number.
     pub fn push(&mut self, record: Record) -> u64 {
-        let seq = self.next;
-        self.next += 1;
-        self.waiting.push_back(Entry { seq, record });
+        let seq = self.next_seq;
+        self.next_seq += 1;
+        self.pending.push_back(Entry { seq, record });
         seq
     }
 
-    /// Whether nothing waits to be read back.
+    /// Whether every queued record has been read back.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Records that have not been read back.
+    /// Records that have not been read back yet.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
-        self.waiting.iter().map(|entry| &entry.record)
+        self.pending.iter().map(|entry| &entry.record)
     }
 
-    /// Whether a record waits that `same` holds for.
-    pub fn holds(&self, same: impl Fn(&Record) -> bool) -> bool {
-        self.records().any(same)
+    /// Whether a record that matches `predicate` has not been read back yet.
+    pub fn holds(&self, predicate: impl Fn(&Record) -> bool) -> bool {
+        self.records().any(predicate)
     }
 
-    /// The next append, if one is due: none is in flight, and the last is `gap` old.
+    /// The next append, if one is due: none is in flight and the last was sent at least `gap` ago, or the one in
+    /// flight is due to be sent again.
     pub fn due(&mut self, now: Millis, gap: Millis) -> Option<Batch> {
-        if self.waiting.is_empty() {
+        if self.pending.is_empty() {
             return None;
         }
-        let ready = match self.in_flight {
+        let ready = match self.in_flight_since {
             Some(since) => now >= since + RESEND_AFTER,
-            None => now >= self.last_sent + gap,
+            None => now >= self.last_sent_at + gap,
         };
         if !ready {
             return None;
         }
-        self.in_flight = Some(now);
-        self.first_sent.get_or_insert(now);
-        self.last_sent = now;
-        let entries: Vec<Entry> = self.waiting.iter().take(BATCH_MAX).cloned().collect();
-        self.sent = self.sent.max(entries.last().map_or(0, |entry| entry.seq));
+        self.in_flight_since = Some(now);
+        self.first_sent_at.get_or_insert(now);
+        self.last_sent_at = now;
+        let entries: Vec<Entry> = self.pending.iter().take(BATCH_MAX).cloned().collect();
+        self.last_sent_seq = self
+            .last_sent_seq
+            .max(entries.last().map_or(0, |entry| entry.seq));
         Some(Batch {
             writer: self.writer,
             entries,
         })
     }
 
-    /// Drops what was never sent. What was sent may be in the log already or still on its way, so it
-    /// keeps its numbers: a number that was given to another record would let those after it count
-    /// without it.
+    /// Drops the records that were never sent. Those that were sent may be in the log or still on their way, so they
+    /// keep their numbers: if a number were reused for another record, the records after it could be applied
+    /// without the record that first had the number.
     pub fn drop_unsent(&mut self) {
-        let sent = self.sent;
-        self.waiting.retain(|entry| entry.seq <= sent);
-        self.next = sent + 1;
+        let last_sent_seq = self.last_sent_seq;
+        self.pending.retain(|entry| entry.seq <= last_sent_seq);
+        self.next_seq = last_sent_seq + 1;
     }
 
-    /// The fold has applied all of ours through `seq`.
+    /// Removes the records up to `seq`, which the fold has applied.
     pub fn applied(&mut self, seq: u64) {
-        let before = self.waiting.len();
-        while self.waiting.front().is_some_and(|entry| entry.seq <= seq) {
-            self.waiting.pop_front();
+        let before = self.pending.len();
+        while self.pending.front().is_some_and(|entry| entry.seq <= seq) {
+            self.pending.pop_front();
         }
-        if self.waiting.len() < before {
-            self.in_flight = None;
-            self.first_sent = None;
+        if self.pending.len() < before {
+            self.in_flight_since = None;
+            self.first_sent_at = None;
         }
     }
 
-    /// The log refused the append outright; it may be sent again after the gap.
+    /// Records that the append failed; it may be sent again after the gap.
     pub fn refused(&mut self) {
-        self.in_flight = None;
+        self.in_flight_since = None;
     }
 
-    /// How long the oldest record has waited to be read back since it was first sent.
+    /// How long the oldest pending record has waited to be read back since it was first sent.
     pub fn waited(&self, now: Millis) -> Millis {
-        self.first_sent
+        self.first_sent_at
             .map_or(Millis::ZERO, |since| now.saturating_sub(since))
     }
 }
