--- a/src/router/control/streams.rs
+++ b/src/router/control/streams.rs
@@ -22,8 +22,8 @@
         batches: &[(Offset, Batch)],
     ) {
         let progress = match stream {
-            Stream::Config => self.config.take(first, batches),
-            Stream::Shard(shard) => self.ledgers[usize::from(shard)].take(first, batches),
+            Stream::Config => self.config.apply_batches(first, batches),
+            Stream::Shard(shard) => self.ledgers[usize::from(shard)].apply_batches(first, batches),
         };
         // If the log no longer has the next offset and no checkpoint was found, the state is not usable yet.
         if self.applied(stream) + Offset(1) >= first {
--- a/src/router/log/follower.rs
+++ b/src/router/log/follower.rs
@@ -22,7 +22,7 @@
     fn admit(&mut self, writer: Incarnation, seq: u64) -> bool;
 }
 
-/// The result of one call of [`Follower::take`].
+/// The result of one call of [`Follower::apply_batches`].
 #[derive(Debug, Default)]
 pub struct Progress {
     /// Invariants found broken.
@@ -93,7 +93,7 @@
     ///
     /// A follower behind the log's retention first restores the newest usable checkpoint among `batches` and
     /// continues from there; without one it applies nothing.
-    pub fn take(&mut self, first: Offset, batches: &[(Offset, Batch)]) -> Progress {
+    pub fn apply_batches(&mut self, first: Offset, batches: &[(Offset, Batch)]) -> Progress {
         let mut progress = Progress::default();
         if first > self.next() {
             let Some(checkpoint) = newest_checkpoint(batches, first) else {
--- a/tests/checkpoints.rs
+++ b/tests/checkpoints.rs
@@ -62,7 +62,7 @@
 
 fn whole() -> (Follower<Ledger>, Checkpoint) {
     let mut follower = Follower::default();
-    let progress = follower.take(Offset(1), &stream());
+    let progress = follower.apply_batches(Offset(1), &stream());
     (follower, progress.marked.expect("a mark was read"))
 }
 
@@ -71,15 +71,15 @@
     let (mut full, checkpoint) = whole();
     let mut batches = stream();
     batches.push(checkpoint_batch(10, checkpoint));
-    full.take(Offset(1), &batches);
+    full.apply_batches(Offset(1), &batches);
     let kept = &batches[6..];
     let mut late: Follower<Ledger> = Follower::default();
-    late.take(Offset(7), kept);
+    late.apply_batches(Offset(7), kept);
     assert_eq!(late.applied(), Offset(10));
     assert_eq!(late.snapshot().digest, full.snapshot().digest);
     // Without a checkpoint it knows nothing, and says so by staying where it is.
     let mut lost: Follower<Ledger> = Follower::default();
-    lost.take(Offset(7), &kept[..2]);
+    lost.apply_batches(Offset(7), &kept[..2]);
     assert_eq!(lost.applied(), Offset(0));
 }
 
@@ -87,7 +87,7 @@
 fn digest_differs() {
     let (mut follower, mut checkpoint) = whole();
     assert_eq!(checkpoint.through, Offset(6));
-    let good = follower.take(Offset(1), &[checkpoint_batch(10, checkpoint.clone())]);
+    let good = follower.apply_batches(Offset(1), &[checkpoint_batch(10, checkpoint.clone())]);
     assert!(good.checkpointed && good.violations.is_empty());
     checkpoint.digest += 1;
     let entries = vec![Entry {
@@ -98,7 +98,7 @@
         writer: Incarnation(6),
         entries,
     };
-    let bad = follower.take(Offset(1), &[(Offset(11), batch)]);
+    let bad = follower.apply_batches(Offset(1), &[(Offset(11), batch)]);
     assert!(
         matches!(bad.violations[..], [Violation::Digest { .. }]),
         "{bad:?}"
@@ -110,7 +110,7 @@
     let (mut follower, older) = whole();
     let before = follower.snapshot();
     assert!(!follower.restore(&older), "an older state");
-    follower.take(Offset(1), &stream());
+    follower.apply_batches(Offset(1), &stream());
     assert_eq!(follower.snapshot(), before, "old records again");
     let mut newer = Follower::<Ledger>::default();
     assert!(newer.restore(&older) && newer.applied() == Offset(6));
@@ -122,6 +122,6 @@
         !newer.restore(&broken),
         "a state that does not have its digest"
     );
-    newer.take(Offset(1), &stream());
+    newer.apply_batches(Offset(1), &stream());
     assert_eq!(newer.snapshot().digest, follower.snapshot().digest);
 }
--- a/tests/ledger_sums.rs
+++ b/tests/ledger_sums.rs
@@ -169,7 +169,7 @@
     };
     let batches = [first, ask.clone(), ask.clone(), ask];
     let batches: Vec<_> = (1..).map(Offset).zip(batches).collect();
-    follower.take(Offset(1), &batches);
+    follower.apply_batches(Offset(1), &batches);
     assert_eq!(parts(follower.state()), [90, 10, 0, 0]);
 }
 
