--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -201,8 +201,8 @@
         holder: Incarnation,
         closed: &[Closed],
     ) -> Result<(), Violation> {
-        let member = self.sequence.member(holder);
-        if member.gone.is_some() || member.witness != Some(by) {
+        let member = self.sequence.writer(holder);
+        if member.departed_at.is_some() || member.witness != Some(by) {
             return Ok(());
         }
         let mut result = Ok(());
@@ -277,7 +277,7 @@
         writer: Incarnation,
         record: &Record,
     ) -> Result<(), Violation> {
-        let gone = self.sequence.is_gone(writer);
+        let gone = self.sequence.has_departed(writer);
         match record {
             Record::Grant { budget, ask } if !gone => {
                 self.grant_to(offset, budget.index, writer, *ask);
@@ -307,7 +307,7 @@
                 holder,
                 nonce,
                 billed,
-            } if self.sequence.member(*holder).witness == Some(writer) => {
+            } if self.sequence.writer(*holder).witness == Some(writer) => {
                 let result = self.resolve(*holder, *nonce, *billed);
                 result.and(self.check_all())
             }
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -240,8 +240,8 @@
         let ticket = job.spec.ticket;
         let id = job.spec.id;
         let shard = job.budget.shard;
-        let member = self.ledger(shard).sequence().member(id.incarnation);
-        if self.stopping || member.gone.is_none() {
+        let member = self.ledger(shard).sequence().writer(id.incarnation);
+        if self.stopping || member.departed_at.is_none() {
             let known = self.membership.peer(id.incarnation).is_some();
             let reason = if known {
                 Reason::Elsewhere
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -102,7 +102,7 @@
         let me = self.incarnation();
         for (budget, settled) in due {
             // A ledger that this incarnation has left has all its bills, and has taken back its grant.
-            if self.ledger(budget.shard).sequence().is_gone(me) {
+            if self.ledger(budget.shard).sequence().has_departed(me) {
                 continue;
             }
             let is_same = |record: &Record| match record {
@@ -180,11 +180,11 @@
         let me = self.incarnation();
         for stream in Stream::all() {
             let known = match stream {
-                Stream::Config => self.config().sequence().member(me),
-                Stream::Shard(shard) => self.ledger(shard).sequence().member(me),
+                Stream::Config => self.config().sequence().writer(me),
+                Stream::Shard(shard) => self.ledger(shard).sequence().writer(me),
             };
             let writer = self.writer(stream);
-            let has_written = known.gone.is_none() && (known.seq > 0 || !writer.is_empty());
+            let has_written = known.departed_at.is_none() && (known.seq > 0 || !writer.is_empty());
             if has_written && !writer.holds(|record| matches!(record, Record::Leave)) {
                 writer.push(Record::Leave);
             }
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -219,8 +219,8 @@
         if shard >= SHARDS {
             return Taken::Unknown;
         }
-        let member = self.ledger(shard).sequence().member(id.incarnation);
-        if member.gone.is_none() {
+        let member = self.ledger(shard).sequence().writer(id.incarnation);
+        if member.departed_at.is_none() {
             return Taken::Alive;
         }
         let named = member.witness;
@@ -324,7 +324,7 @@
     /// Whether a request is in doubt and this process, as the witness `name`, decides its outcome.
     fn decides_doubt(&self, name: Incarnation, id: Id, budget: BudgetKey) -> bool {
         let ledger = self.ledger(budget.shard);
-        let witness = ledger.sequence().member(id.incarnation).witness;
+        let witness = ledger.sequence().writer(id.incarnation).witness;
         let key = (id.incarnation, id.nonce);
         witness == Some(name)
             && ledger
@@ -333,8 +333,8 @@
     }
 
     fn is_witness_in(&self, shard: u8, name: Incarnation, holder: Incarnation) -> bool {
-        let member = self.ledger(shard).sequence().member(holder);
-        member.gone.is_none() && member.witness == Some(name)
+        let member = self.ledger(shard).sequence().writer(holder);
+        member.departed_at.is_none() && member.witness == Some(name)
     }
 
     /// The log writer of this process as the witness `name`.
@@ -388,7 +388,7 @@
     fn write_resolve(&mut self, name: Incarnation, resolved: Resolved) {
         let Resolved { id, budget, billed } = resolved;
         let ledger = self.ledger(budget.shard);
-        if !ledger.sequence().is_gone(id.incarnation) {
+        if !ledger.sequence().has_departed(id.incarnation) {
             return;
         }
         let key = (id.incarnation, id.nonce);
--- a/src/router/control/streams.rs
+++ b/src/router/control/streams.rs
@@ -67,14 +67,16 @@
     fn stream_advanced(&mut self, stream: Stream) {
         let me = self.incarnation();
         let member = match stream {
-            Stream::Config => self.config().sequence().member(me),
-            Stream::Shard(shard) => self.ledger(shard).sequence().member(me),
+            Stream::Config => self.config().sequence().writer(me),
+            Stream::Shard(shard) => self.ledger(shard).sequence().writer(me),
         };
         self.writer(stream).applied(member.seq);
         self.update_past_writers(stream);
         match stream {
             Stream::Config => self.config_changed(),
-            Stream::Shard(_) if member.gone.is_some() && !self.stopping => self.renew_incarnation(),
+            Stream::Shard(_) if member.departed_at.is_some() && !self.stopping => {
+                self.renew_incarnation()
+            }
             Stream::Shard(shard) => {
                 self.recheck_witnesses();
                 self.ledger_changed(shard);
@@ -91,7 +93,7 @@
         };
         for ((name, written_to), writer) in &mut self.past_writers {
             if *written_to == stream {
-                writer.applied(sequence.member(*name).seq);
+                writer.applied(sequence.writer(*name).seq);
             }
         }
     }
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -33,7 +33,7 @@
     /// Witnesses that a shard's ledger names, or that a record not yet read back names.
     fn named_witnesses(&self, shard: u8) -> Vec<Incarnation> {
         let me = self.incarnation();
-        let recorded = self.ledger(shard).sequence().member(me).witness;
+        let recorded = self.ledger(shard).sequence().writer(me).witness;
         let writer = &self.writers[&Stream::Shard(shard)];
         let pending = writer.records().filter_map(|record| match record {
             Record::Witness { witness } => *witness,
@@ -158,8 +158,8 @@
     fn name_witnesses(&mut self) {
         let me = self.incarnation();
         for shard in 0..SHARDS {
-            let member = self.ledger(shard).sequence().member(me);
-            if member.seq > 0 && member.gone.is_none() {
+            let member = self.ledger(shard).sequence().writer(me);
+            if member.seq > 0 && member.departed_at.is_none() {
                 self.name_witness(shard);
             }
         }
@@ -176,7 +176,7 @@
                 .is_some_and(|link| link.adopted),
             None => true,
         };
-        let recorded = self.ledger(shard).sequence().member(me).witness;
+        let recorded = self.ledger(shard).sequence().writer(me).witness;
         let stream = Stream::Shard(shard);
         let is_same = |record: &Record| matches!(record, Record::Witness { witness: named } if *named == witness);
         if !adopted || recorded == witness {
--- a/src/router/log/mod.rs
+++ b/src/router/log/mod.rs
@@ -12,6 +12,6 @@
 
 pub use follower::{Fold, Follower, Progress};
 pub use record::{Batch, Checkpoint, Closed, Entry, Open, Record, digest};
-pub use sequence::{Member, Sequence};
+pub use sequence::{Sequence, WriterState};
 pub use violation::Violation;
 pub use writer::Writer;
--- a/tests/common/world/script.rs
+++ b/tests/common/world/script.rs
@@ -80,7 +80,7 @@
             unreachable!()
         };
         let state = self.state(node);
-        let member = state.ledger(shard).sequence().member(state.incarnation());
+        let member = state.ledger(shard).sequence().writer(state.incarnation());
         let witness = member.witness.expect("a witness in the ledger");
         let is_it = |one: &usize| {
             let state = self.nodes[*one].state.as_ref();
