--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -55,7 +55,7 @@
         me.epoch = epoch;
         me.applied = applied;
         me.leaving = leaving;
-        let mut receivers = self.membership.round(self.now, &mut self.rng);
+        let mut receivers = self.membership.start_round(self.now, &mut self.rng);
         let me = self.incarnation();
         let wards = self.named_wards();
         let to_move = wards.filter(|ward| leaving || ward.witness != me);
@@ -63,7 +63,7 @@
         receivers.sort_unstable();
         receivers.dedup();
         for to in receivers {
-            let peers = self.membership.tell(self.now, &mut self.rng);
+            let peers = self.membership.gossip(self.now, &mut self.rng);
             self.call(to, PendingCall::Heartbeat, Request::Heartbeat { peers });
         }
         self.request_state();
@@ -95,7 +95,7 @@
         let reply = match request {
             Request::Heartbeat { peers } => {
                 self.record_peers(&peers);
-                let peers = self.membership.tell(self.now, &mut self.rng);
+                let peers = self.membership.gossip(self.now, &mut self.rng);
                 Reply::Heartbeat { peers }
             }
             Request::Ward { to, holder, .. } if !self.is_witness_of(to, holder) => Reply::Gone,
@@ -129,7 +129,7 @@
             .map_or(0, |c| c.concurrency);
         let share = 1 + (concurrency / CONCURRENCY_PER_ENTRY_SHARE) as usize;
         let me = self.prefix();
-        let peers = self.membership.entries(self.now, customer, share);
+        let peers = self.membership.entry_hosts(self.now, customer, share);
         let entries = peers
             .into_iter()
             .map(|peer| {
@@ -147,7 +147,7 @@
 
     fn record_peers(&mut self, peers: &[Peer]) {
         for peer in peers {
-            self.membership.heard(self.now, peer);
+            self.membership.observe(self.now, peer);
         }
     }
 
@@ -356,7 +356,7 @@
         self.past_writers
             .retain(|(name, _), _| witnesses.contains_key(name));
         self.membership
-            .drop_past(|name| witnesses.contains_key(&name));
+            .retain_past(|name| witnesses.contains_key(&name));
     }
 
     /// Writes closes, and the bills decided after them, until the ledgers have applied them.
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -291,7 +291,7 @@
     }
 
     fn update_hosts(&mut self, hosts: &[(std::net::SocketAddr, bool)]) {
-        self.membership.list(hosts);
+        self.membership.set_listed(hosts);
         for (address, leaving) in hosts {
             self.pool.set_leaving(*address, *leaving);
         }
--- a/src/router/control/witnesses.rs
+++ b/src/router/control/witnesses.rs
@@ -89,7 +89,7 @@
         let me = self.incarnation();
         let is_new =
             |peer: &&crate::router::host::Peer| !self.links.contains_key(&(me, peer.incarnation));
-        let chosen = self.membership.witness(self.now, is_new);
+        let chosen = self.membership.choose_witness(self.now, is_new);
         chosen.map(|peer| peer.incarnation)
     }
 
--- a/src/router/host/member.rs
+++ b/src/router/host/member.rs
@@ -110,7 +110,7 @@
     }
 
     /// Stops gossiping earlier incarnations that do not match `keep`.
-    pub fn drop_past(&mut self, keep: impl Fn(Incarnation) -> bool) {
+    pub fn retain_past(&mut self, keep: impl Fn(Incarnation) -> bool) {
         self.past_incarnations.retain(|peer| keep(peer.incarnation));
     }
 
@@ -121,7 +121,7 @@
 
     /// Replaces the platform's host list: peer addresses, and whether each is leaving. While the list is
     /// unavailable, the last one stays.
-    pub fn list(&mut self, hosts: &[(SocketAddr, bool)]) {
+    pub fn set_listed(&mut self, hosts: &[(SocketAddr, bool)]) {
         self.listed = hosts.iter().map(|(address, _)| *address).collect();
         let leaving = hosts.iter().filter(|(_, leaving)| *leaving);
         self.listed_leaving = leaving.map(|(address, _)| *address).collect();
@@ -129,7 +129,7 @@
 
     /// Takes in a peer's description from a gossip message. Only a higher counter replaces what is known, and
     /// descriptions of this process are ignored.
-    pub fn heard(&mut self, now: Millis, peer: &Peer) {
+    pub fn observe(&mut self, now: Millis, peer: &Peer) {
         let mut own = self.past_incarnations.iter().chain([&self.me]);
         if own.any(|own| own.incarnation == peer.incarnation) {
             return;
@@ -155,7 +155,7 @@
     }
 
     /// Starts a gossip round and returns the recipients' addresses: a random few, and this router's witness.
-    pub fn round<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<SocketAddr> {
+    pub fn start_round<R: Rng>(&mut self, now: Millis, rng: &mut R) -> Vec<SocketAddr> {
         for own in self.past_incarnations.iter_mut().chain([&mut self.me]) {
             own.counter += 1;
         }
@@ -178,7 +178,7 @@
 
     /// The content of a gossip message: this router first, then its earlier incarnations, then a few others whose
     /// counters increase.
-    pub fn tell<R: Rng>(&self, now: Millis, rng: &mut R) -> Vec<Peer> {
+    pub fn gossip<R: Rng>(&self, now: Millis, rng: &mut R) -> Vec<Peer> {
         let ill_after = self.ill_after();
         let well = self
             .known
@@ -229,7 +229,7 @@
     }
 
     /// Whether this router is leaving, by its own state or by the host list.
-    pub fn am_leaving(&self) -> bool {
+    pub fn is_self_leaving(&self) -> bool {
         self.me.leaving || self.listed_leaving.contains(&self.me.address)
     }
 
@@ -251,7 +251,7 @@
 
     /// The peer that this router should ask to be its witness: one that is well and matches `fits`, preferably in
     /// another hall of its region, else in its own hall, else in another region. `fits` rules out peers that failed.
-    pub fn witness(&self, now: Millis, fits: impl Fn(&&Peer) -> bool) -> Option<&Peer> {
+    pub fn choose_witness(&self, now: Millis, fits: impl Fn(&&Peer) -> bool) -> Option<&Peer> {
         let name = self.me.incarnation.to_string();
         let well = self.well(now).into_iter().filter(fits);
         let ranked = rank(&name, well, |peer| peer.incarnation.0);
@@ -264,9 +264,9 @@
 
     /// The hosts that a customer should use, best first. `share` multiplies their number, for customers with much
     /// traffic.
-    pub fn entries(&self, now: Millis, customer: &str, share: usize) -> Vec<&Peer> {
+    pub fn entry_hosts(&self, now: Millis, customer: &str, share: usize) -> Vec<&Peer> {
         let mut hosts = self.well(now);
-        if !self.am_leaving() {
+        if !self.is_self_leaving() {
             hosts.push(&self.me);
         }
         let mut ranked = rank(customer, hosts.into_iter(), |peer| host_seed(peer.entry));
--- a/tests/entry_answers.rs
+++ b/tests/entry_answers.rs
@@ -25,7 +25,7 @@
 fn membership(hosts: u16, without: Option<u16>) -> Membership {
     let mut membership = Membership::new(peer(0));
     for place in (1..hosts).filter(|place| Some(*place) != without) {
-        membership.heard(Millis(1), &peer(place));
+        membership.observe(Millis(1), &peer(place));
     }
     membership
 }
@@ -34,7 +34,7 @@
     let customers = (0..1_000).map(|one| format!("customer-{one}"));
     customers
         .map(|name| {
-            let hosts = membership.entries(Millis(2), &name, share);
+            let hosts = membership.entry_hosts(Millis(2), &name, share);
             let hosts = hosts.into_iter().map(|peer| peer.entry).collect();
             (name, hosts)
         })
@@ -82,16 +82,16 @@
 fn ill_and_leaving() {
     let mut membership = membership(4, None);
     let named = |membership: &Membership, now: u64, place: u16| {
-        let hosts = membership.entries(Millis(now), "c", 4);
+        let hosts = membership.entry_hosts(Millis(now), "c", 4);
         hosts.iter().any(|one| one.entry == peer(place).entry)
     };
     assert!(named(&membership, 2, 1));
-    membership.list(&[(peer(1).address, true), (peer(2).address, false)]);
+    membership.set_listed(&[(peer(1).address, true), (peer(2).address, false)]);
     assert!(!named(&membership, 2, 1), "the list says that it leaves");
     assert!(named(&membership, 2, 3), "missing in a list that lags");
     // A host that the list still shows, but that does not go on, is left out, and is back.
     assert!(!named(&membership, 10_000, 2));
-    membership.heard(
+    membership.observe(
         Millis(10_000),
         &Peer {
             counter: 2,
@@ -99,7 +99,7 @@
         },
     );
     assert!(named(&membership, 10_001, 2));
-    membership.heard(
+    membership.observe(
         Millis(10_000),
         &Peer {
             counter: 3,
@@ -109,7 +109,7 @@
     );
     assert!(!named(&membership, 10_001, 2));
     // An older word does not take the newer back.
-    membership.heard(
+    membership.observe(
         Millis(10_002),
         &Peer {
             counter: 2,
@@ -122,10 +122,10 @@
 #[test]
 fn witness_elsewhere() {
     let membership = membership(8, None);
-    let witness = membership.witness(Millis(2), |_| true).unwrap();
+    let witness = membership.choose_witness(Millis(2), |_| true).unwrap();
     assert_ne!(witness.hall, "h0", "in another hall");
     let only = membership
-        .witness(Millis(2), |peer| peer.hall == "h0")
+        .choose_witness(Millis(2), |peer| peer.hall == "h0")
         .unwrap();
     assert_eq!(only.hall, "h0", "unless there is none");
 }
