--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -78,7 +78,7 @@
             || self
                 .writers
                 .values()
-                .any(|writer| writer.waited(now) > LOG_SILENCE_MAX)
+                .any(|writer| writer.pending_for(now) > LOG_SILENCE_MAX)
     }
 
     /// Records settlements, requests grants ahead of demand, and returns tokens that other routers lack.
--- a/src/router/control/streams.rs
+++ b/src/router/control/streams.rs
@@ -115,10 +115,10 @@
     /// Handles the log's answer to an append.
     pub(super) fn handle_append_result(&mut self, stream: Stream, taken: bool) {
         if !taken {
-            self.writer(stream).refused();
+            self.writer(stream).append_failed();
             let past = self.past_writers.iter_mut();
             for (_, writer) in past.filter(|((_, written_to), _)| *written_to == stream) {
-                writer.refused();
+                writer.append_failed();
             }
         }
     }
--- a/src/router/log/writer.rs
+++ b/src/router/log/writer.rs
@@ -113,12 +113,12 @@
     }
 
     /// Records that the append failed; it may be sent again after the gap.
-    pub fn refused(&mut self) {
+    pub fn append_failed(&mut self) {
         self.in_flight_since = None;
     }
 
     /// How long the oldest pending record has waited to be read back since it was first sent.
-    pub fn waited(&self, now: Millis) -> Millis {
+    pub fn pending_for(&self, now: Millis) -> Millis {
         self.first_sent_at
             .map_or(Millis::ZERO, |since| now.saturating_sub(since))
     }
