--- a/src/router/client/hosts.rs
+++ b/src/router/client/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list.
+//! Client of the platform's host list.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -11,22 +11,22 @@
 
 const SERVICE: &str = "hosts";
 
-/// A host as the platform lists it.
+/// An entry of the host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// A router's address for its peers, or a target's address.
+    /// A router's address for other routers, or a target's address.
     pub address: SocketAddr,
     /// Whether it is leaving.
     pub leaving: bool,
 }
 
-/// The platform's host list; it lags.
+/// The platform's host list, which lags behind the actual state.
 pub trait HostList: Clone + Send + Sync + 'static {
-    /// All hosts that it knows.
+    /// All listed hosts.
     fn list(&self) -> impl Future<Output = Result<Vec<Listed>, Error>> + Send;
 }
 
-/// The host list over HTTP.
+/// A client of the host list over HTTP.
 #[derive(Clone)]
 pub struct HttpHosts {
     address: SocketAddr,
@@ -34,7 +34,7 @@
 }
 
 impl HttpHosts {
-    /// A client of the list at this address.
+    /// Creates a client of the host list at this address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
--- a/src/router/client/log.rs
+++ b/src/router/client/log.rs
@@ -1,4 +1,4 @@
-//! The log service.
+//! Client of the platform's log service.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -15,10 +15,10 @@
 use crate::units::{Millis, Offset};
 
 const SERVICE: &str = "log";
-/// Longest wait for an answer beyond the wait that a read asks for.
-const WAIT: Duration = Duration::from_millis(2_500);
+/// Longest time for a response, in addition to the wait that a read asks for.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(2_500);
 
-/// Where a reader is in a stream.
+/// A read position in a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cursor {
     /// The stream.
@@ -27,27 +27,27 @@
     pub from: Offset,
 }
 
-/// What a read found in one stream.
+/// New records of one stream.
 #[derive(Clone, Debug)]
 pub struct Page {
     /// The stream.
     pub stream: Stream,
-    /// The oldest offset that the log still has.
+    /// The oldest offset that the log still retains.
     pub first: Offset,
-    /// What follows on, in order.
+    /// Batches from the cursor on, in order of offset.
     pub batches: Vec<(Offset, Batch)>,
 }
 
 /// The platform's log.
 pub trait Log: Clone + Send + Sync + 'static {
-    /// Appends a batch. An error does not mean that it was not appended.
+    /// Appends a batch. After an error, the batch may still have been appended.
     fn append(
         &self,
         stream: Stream,
         batch: &Batch,
     ) -> impl Future<Output = Result<Offset, Error>> + Send;
 
-    /// Reads what is new in any of the streams, and waits for it at most `wait`.
+    /// Reads new records of any of the streams, waiting at most `wait` for one to arrive.
     fn read(
         &self,
         cursors: &[Cursor],
@@ -55,51 +55,51 @@
     ) -> impl Future<Output = Result<Vec<Page>, Error>> + Send;
 }
 
-/// The log over HTTP.
+/// A client of the log over HTTP.
 #[derive(Clone)]
 pub struct HttpLog {
     address: SocketAddr,
     client: Client,
 }
 
-/// An append's answer.
+/// Response to an append.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct Appended {
-    /// Where it went.
+    /// Offset of the appended batch.
     pub offset: u64,
 }
 
-/// A read's question.
+/// Body of a read request.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReadRequest {
-    /// Streams by name, with the next offset of each.
+    /// Names of the streams, each with the next offset to read.
     pub cursors: Vec<(String, u64)>,
-    /// Longest wait for something new, in milliseconds.
+    /// Longest wait for new records, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// One stream of a read's answer.
+/// One stream in the response to a read.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct StreamPage {
-    /// Its name.
+    /// Name of the stream.
     pub stream: String,
-    /// The oldest offset that the log still has.
+    /// The oldest offset that the log still retains.
     pub first: u64,
-    /// Offset of the first of `records`.
+    /// Offset of the first record in `records`.
     pub from: u64,
     /// Records in base64.
     pub records: Vec<String>,
 }
 
-/// A read's answer: the streams that have something new.
+/// Response to a read: the streams with new records.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ReadAnswer {
-    /// Those streams.
+    /// Streams with new records.
     pub streams: Vec<StreamPage>,
 }
 
 impl HttpLog {
-    /// A client of the log at this address.
+    /// Creates a client of the log at this address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
@@ -108,16 +108,19 @@
     }
 
     fn page(page: StreamPage) -> Result<Page, Error> {
-        let answer = |why: &str| Error::Answer {
+        let invalid = |why: &str| Error::Answer {
             service: SERVICE,
             why: format!("{}: {why}", page.stream),
         };
         let stream = Stream::all().find(|stream| stream.to_string() == page.stream);
-        let stream = stream.ok_or_else(|| answer("a stream that was not asked for"))?;
+        let stream = stream.ok_or_else(|| invalid("unknown stream"))?;
         let mut batches = Vec::with_capacity(page.records.len());
         for (offset, record) in (page.from..).zip(&page.records) {
-            let bytes = STANDARD.decode(record).map_err(|_| answer("not base64"))?;
-            let batch = Batch::decode(&bytes).ok_or_else(|| answer("not a batch of ours"))?;
+            let bytes = STANDARD
+                .decode(record)
+                .map_err(|_| invalid("record is not base64"))?;
+            let batch =
+                Batch::decode(&bytes).ok_or_else(|| invalid("record is not a valid batch"))?;
             batches.push((Offset(offset), batch));
         }
         Ok(Page {
@@ -132,7 +135,7 @@
     async fn append(&self, stream: Stream, batch: &Batch) -> Result<Offset, Error> {
         let uri = format!("http://{}/v1/streams/{stream}/append", self.address);
         let request = self.client.post(uri).data(batch.encode());
-        let sent = tokio::time::timeout(WAIT, request.send()).await;
+        let sent = tokio::time::timeout(RESPONSE_TIMEOUT, request.send()).await;
         let response = sent.map_err(|_| timed_out())?;
         let response = response.context(CallSnafu { service: SERVICE })?;
         let appended: Appended = json(SERVICE, response).await?;
@@ -143,13 +146,13 @@
         let uri = format!("http://{}/v1/read", self.address);
         let cursors = cursors
             .iter()
-            .map(|one| (one.stream.to_string(), one.from.0));
+            .map(|cursor| (cursor.stream.to_string(), cursor.from.0));
         let body = ReadRequest {
             cursors: cursors.collect(),
             wait_ms: wait.0,
         };
-        let body = serde_json::to_vec(&body).expect("a read request is plain data");
-        let limit = WAIT + Duration::from_millis(wait.0);
+        let body = serde_json::to_vec(&body).expect("a read request serializes to JSON");
+        let limit = RESPONSE_TIMEOUT + Duration::from_millis(wait.0);
         let sent = tokio::time::timeout(limit, async {
             let request = self.client.post(uri).data(body).send();
             let response = request.await.context(CallSnafu { service: SERVICE })?;
@@ -163,6 +166,6 @@
 fn timed_out() -> Error {
     Error::Answer {
         service: SERVICE,
-        why: "no answer in time".to_owned(),
+        why: "timed out waiting for a response".to_owned(),
     }
 }
--- a/src/router/client/mod.rs
+++ b/src/router/client/mod.rs
@@ -1,6 +1,6 @@
-//! Clients of the two services that a router runs on: the log, and the host list.
+//! Clients of the two platform services that a router depends on: the log and the host list.
 //!
-//! Each is a trait, so that tests can put their own in its place.
+//! Each service is a trait, so that tests can substitute their own implementation.
 
 mod hosts;
 mod log;
@@ -10,46 +10,48 @@
 
 use snafu::Snafu;
 
-/// Why the platform did not answer.
+/// Why a call of a platform service failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The call failed; what it asked for may have been done.
+    /// The call failed; the service may still have carried it out.
     #[snafu(display("{service}: {source}"))]
     Call {
-        /// Which service.
+        /// Name of the service.
         service: &'static str,
         /// The client's error.
         source: volo_http::error::ClientError,
     },
-    /// The service answered with an error.
+    /// The service responded with an error status.
     #[snafu(display("{service}: answered {status}"))]
     Status {
-        /// Which service.
+        /// Name of the service.
         service: &'static str,
-        /// The status.
+        /// HTTP status code.
         status: u16,
     },
-    /// The answer makes no sense.
+    /// The response is missing or invalid.
     #[snafu(display("{service}: {why}"))]
     Answer {
-        /// Which service.
+        /// Name of the service.
         service: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the response.
         why: String,
     },
 }
 
 type Client = volo_http::client::Client;
 
-/// A client for a platform service.
+/// Builds a client for a platform service.
 fn client(timeout: std::time::Duration) -> Client {
     let mut builder = volo_http::client::Client::builder();
     builder.set_connect_timeout(std::time::Duration::from_secs(1));
     builder.set_request_timeout(timeout);
-    builder.build().expect("the client's settings are constant")
+    builder
+        .build()
+        .expect("the client is built from constant, valid settings")
 }
 
-/// Takes the JSON out of an answer.
+/// Decodes the JSON body of a successful response.
 async fn json<T: serde::de::DeserializeOwned>(
     service: &'static str,
     response: volo_http::response::Response,
--- a/src/router/core.rs
+++ b/src/router/core.rs
@@ -11,10 +11,10 @@
 use crate::router::control::{Action, Input, Settings, State};
 use crate::units::Millis;
 
-/// Time between two ticks.
+/// Interval of the control state's ticks.
 const TICK: Duration = Duration::from_millis(25);
 
-/// Starts the control thread; the receiver is told when a planned stop is done.
+/// Starts the control thread; the receiver resolves when a planned stop is done.
 pub fn spawn(
     settings: Settings,
     shared: Arc<Shared>,
@@ -66,10 +66,10 @@
             if let Action::Exit = action
                 && let Some(done) = done.take()
             {
-                // Nobody waits where the server has ended first.
+                // The receiver is gone if the server has ended first.
                 let _ = done.send(());
             } else {
-                edge.act(action);
+                edge.execute(action);
             }
         }
         shared.set_ready(state.is_ready());
--- a/src/router/edge.rs
+++ b/src/router/edge.rs
@@ -1,4 +1,4 @@
-//! Does what the control state wants done.
+//! Executes the actions of the control state.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use crate::units::Tokens;
 use crate::wire;
 
-/// The way out of the control thread.
+/// Executes actions for the control thread, on the runtime for traffic where they take time.
 pub struct Edge {
     traffic: Handle,
     shared: Arc<Shared>,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Does one action; none of them waits here.
-    pub fn act(&self, action: Action) {
+    /// Executes one action without blocking; anything that waits runs on the traffic runtime.
+    pub fn execute(&self, action: Action) {
         match action {
             Action::Dispatch {
                 ticket,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Asks a target what became of a request in doubt.
+    /// Asks a target for the outcome of a request in doubt.
     fn inquire(&self, id: Id, request: Id, target: SocketAddr) {
         let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
@@ -103,7 +103,7 @@
     fn call(&self, call: Call, to: SocketAddr, request: Request) {
         let (peers, shared) = (self.peers.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
-            // The client logs why there is no answer; the control state only needs that.
+            // The client logs why there is no reply; the control state only needs to know that there is none.
             let reply = peers.ask(to, &request).await.ok();
             shared.tell(Input::Replied { call, reply });
         });
@@ -127,16 +127,16 @@
             return;
         };
         let target = dispatch.choice.address;
-        let what = format!(
+        let text = format!(
             "dispatch {} to {target}, fence {}",
             dispatch.attempt, dispatch.choice.fence
         );
-        self.shared.trail.note(dispatch.id, what);
+        self.shared.trail.note(dispatch.id, text);
         tracing::debug!(event = "dispatched", request = %dispatch.id, %target, attempt = dispatch.attempt);
         let (relay, shared) = (self.relay.clone(), Arc::clone(&self.shared));
         self.traffic.spawn(async move {
-            shared.note_active(target);
-            let end = run(&relay, &shared, &answer, dispatch).await;
+            shared.mark_active(target);
+            let end = run_attempt(&relay, &shared, &answer, dispatch).await;
             shared.trail.note(
                 dispatch.id,
                 format!("attempt {} ended: {end:?}", dispatch.attempt),
@@ -150,7 +150,7 @@
             return;
         };
         let about = &answer.about;
-        let key = key(&answer);
+        let key = metrics_key(&answer);
         let objective = self.shared.config.load().objective(&about.class);
         let sample = answer.watch.sample();
         self.shared.metrics.note(&key, objective, &verdict, sample);
@@ -176,7 +176,7 @@
             format!("verdict {}: {reason}, billed {billed}", verdict.word()),
         );
         answer.end(verdict);
-        // What did not run may come again as new; its answer is not kept.
+        // A request that did not run may be sent again as a new one, so its answer is not kept.
         if matches!(verdict, Verdict::NotRun { .. }) {
             self.shared.answers.remove(ticket);
         }
@@ -199,7 +199,7 @@
     }
 }
 
-fn key(answer: &Answer) -> Key {
+fn metrics_key(answer: &Answer) -> Key {
     Key {
         customer: answer.about.customer.clone(),
         class: answer.about.class.clone(),
@@ -207,22 +207,22 @@
     }
 }
 
-async fn run(
+async fn run_attempt(
     relay: &Relay,
     shared: &Shared,
     answer: &Answer,
     dispatch: Dispatch,
 ) -> crate::router::control::End {
-    let key = key(answer);
-    let seen = |_index| {
+    let key = metrics_key(answer);
+    let on_frame = |_index| {
         let at = u64::try_from(answer.about.arrived.elapsed().as_millis()).unwrap_or(u64::MAX);
         if let Some(gap) = answer.watch.frame(at) {
             shared.metrics.note_gap(&key, gap);
         }
     };
-    let end = relay.run(answer, dispatch, seen).await;
+    let end = relay.run(answer, dispatch, on_frame).await;
     if matches!(answer.work, Work::Service(_)) {
-        seen(0);
+        on_frame(0);
     }
     end
 }
--- a/src/router/entry.rs
+++ b/src/router/entry.rs
@@ -1,7 +1,7 @@
-//! The listener for callers and operators: each request is read whole and handed to the routes.
+//! The listener for callers and operators: reads each request completely and passes it to the routes.
 //!
-//! It owns the routes and the signs of a stop. It relies on [`net::Server`](crate::net::Server) for the
-//! connections and never decides on a request, but for one that is not whole when the server closes.
+//! It owns the routes and the signals of a planned stop. [`net::Server`](crate::net::Server) owns the connections.
+//! It makes no decision on a request, except to refuse one that is incomplete when the server closes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -26,24 +26,24 @@
 use super::request::{Id, Reason, Verdict};
 use crate::net::{Accepted, ReadState, Server, Socket};
 
-/// Longest time to send a request's head, which also runs while a connection is idle. Hyper's
-/// default, and as long as a stop waits for a head.
-const HEAD_MAX: Duration = Duration::from_secs(30);
+/// Longest time to receive a request's head; it also runs while a connection is idle. The same as hyper's default
+/// and as the time that a stop waits for a head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What answers on the connections of callers and operators.
+/// The service on the connections of callers and operators.
 #[derive(Clone)]
 pub struct Entry {
     routes: Arc<Router>,
-    /// Longest body taken, in bytes.
+    /// Longest accepted body, in bytes.
     body_max: usize,
-    /// Answers end their connection from now on.
+    /// Once cancelled, every response closes its connection.
     stopping: CancellationToken,
-    /// Requests that are not whole by now are refused.
+    /// Once cancelled, requests that are still incomplete are refused.
     closing: CancellationToken,
 }
 
 impl Entry {
-    /// An entry to these routes.
+    /// A service with these routes.
     pub fn new(routes: Router, body_max: usize) -> Self {
         Self {
             routes: Arc::new(routes),
@@ -59,12 +59,12 @@
         server.listen(listener, move |socket| connection(entry.clone(), socket));
     }
 
-    /// Has callers leave their connections: each answer is the last on its own.
+    /// Makes each further response the last on its connection.
     pub fn stop(&self) {
         self.stopping.cancel();
     }
 
-    /// Refuses requests of which a part has not come.
+    /// Refuses requests that are still incomplete.
     pub fn close(&self) {
         self.closing.cancel();
     }
@@ -97,21 +97,24 @@
         if body.size_hint().lower() > self.body_max as u64 {
             return Err(too_large());
         }
-        let whole = tokio::select! {
+        let collected = tokio::select! {
             biased;
-            whole = Limited::new(&mut body, self.body_max).collect() => whole,
+            collected = Limited::new(&mut body, self.body_max).collect() => collected,
             () = self.closing.cancelled() => {
                 reading.discard(body, self.body_max);
-                return Err(refuse_part(&parts.headers));
+                return Err(refuse_incomplete(&parts.headers));
             }
         };
-        match whole {
-            Ok(whole) => Ok(hyper::Request::from_parts(parts, whole.to_bytes().into())),
+        match collected {
+            Ok(collected) => Ok(hyper::Request::from_parts(
+                parts,
+                collected.to_bytes().into(),
+            )),
             Err(error) if error.is::<LengthLimitError>() => {
                 reading.discard(body, self.body_max);
                 Err(too_large())
             }
-            // The caller has left, or has sent what is no body.
+            // The caller has disconnected or has sent a malformed body.
             Err(error) => Err(reply::Wrong::field("body", format!("body: {error}")).reply()),
         }
     }
@@ -126,9 +129,9 @@
     }
 }
 
-/// Refuses a request of which a part has not come. Nothing of it ran; one with an id may be a repeat of one
-/// that did.
-fn refuse_part(headers: &HeaderMap) -> Response {
+/// Refuses an incomplete request. It has not run; but one with an id may be a retry of a request that has run, so its
+/// verdict is that it may have run.
+fn refuse_incomplete(headers: &HeaderMap) -> Response {
     let id = headers
         .get(REQUEST_ID)
         .and_then(|id| id.to_str().ok()?.parse().ok());
@@ -143,7 +146,7 @@
     entry: Entry,
     socket: Socket,
 ) -> Accepted<impl HttpService<Incoming, ResBody = Body, Error = Infallible, Future: Send> + Send> {
-    // A caller that has left already has no address.
+    // The address is not available if the caller has already disconnected.
     let peer = socket.peer_addr().ok().map(Address::from);
     let reading = socket.read_state();
     let service = service_fn(move |request| {
@@ -152,6 +155,6 @@
     });
     http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD_MAX)
+        .header_read_timeout(HEAD_TIMEOUT)
         .serve_connection(TokioIo::new(socket), service)
 }
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -1,4 +1,4 @@
-//! What comes in by itself: the log, the host list, and the targets' reports.
+//! Inputs that a router polls for: the log, the host list, and the targets' load reports.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,18 +12,18 @@
 use crate::router::key::Stream;
 use crate::units::{Millis, Offset};
 
-/// Longest wait of a read for something new.
-const READ_WAIT: Millis = Millis(5_000);
-/// Wait after a read that failed.
-const READ_AGAIN: Duration = Duration::from_millis(250);
-/// Time between two looks at the host list.
-const HOSTS_EVERY: Duration = Duration::from_millis(1_000);
-/// Time between two reports of a target that has work of ours.
-const LOAD_EVERY: Duration = Duration::from_millis(1_000);
-/// Longest wait for a target's report.
-const LOAD_WAIT: Duration = Duration::from_secs(1);
+/// Longest time that a read waits for new records.
+const READ_WAIT_MAX: Millis = Millis(5_000);
+/// Delay before a failed read is repeated.
+const READ_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// Delay between two reads of the host list.
+const HOST_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Delay between two rounds of load reports from the targets with requests from this router.
+const LOAD_INTERVAL: Duration = Duration::from_millis(1_000);
+/// Longest wait for a target's load report.
+const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Starts them all.
+/// Starts all polling tasks.
 pub fn spawn<L: Log, H: HostList>(shared: &Arc<Shared>, log: L, hosts: H) {
     tokio::spawn(follow_log(Arc::clone(shared), log));
     tokio::spawn(follow_hosts(Arc::clone(shared), hosts));
@@ -34,7 +34,7 @@
     let mut next: BTreeMap<Stream, Offset> = Stream::all().map(|s| (s, Offset(1))).collect();
     catch_up(&shared, &log, &mut next).await;
     loop {
-        match log.read(&cursors(&next), READ_WAIT).await {
+        match log.read(&cursors(&next), READ_WAIT_MAX).await {
             Ok(pages) => {
                 shared.tell(Input::LogUp(true));
                 for page in pages {
@@ -46,8 +46,8 @@
     }
 }
 
-/// Reads every stream to its end before anything is delivered: a reader behind the log's
-/// retention has to have the newest checkpoint together with what follows it.
+/// Reads every stream to its end before delivering anything: a follower behind the log's retention needs the newest
+/// checkpoint together with the records after it.
 async fn catch_up<L: Log>(shared: &Shared, log: &L, next: &mut BTreeMap<Stream, Offset>) {
     let mut read: BTreeMap<Stream, Page> = BTreeMap::new();
     loop {
@@ -106,7 +106,7 @@
 async fn retry(shared: &Shared, error: &crate::router::client::Error) {
     tracing::warn!(event = "log_read_failed", %error);
     shared.tell(Input::LogUp(false));
-    tokio::time::sleep(READ_AGAIN).await;
+    tokio::time::sleep(READ_RETRY_DELAY).await;
 }
 
 async fn follow_hosts<H: HostList>(shared: Arc<Shared>, hosts: H) {
@@ -118,16 +118,16 @@
             }
             Err(error) => tracing::warn!(event = "host_list_failed", %error),
         }
-        tokio::time::sleep(HOSTS_EVERY).await;
+        tokio::time::sleep(HOST_LIST_INTERVAL).await;
     }
 }
 
-/// Asks the targets that have had work of ours lately; the others' load is of no use here.
+/// Polls the load of the targets to which this router has dispatched lately; the load of the others is not needed.
 async fn follow_targets(shared: Arc<Shared>) {
-    let relay = Relay::new(LOAD_WAIT);
+    let relay = Relay::new(LOAD_TIMEOUT);
     let mut cursors: HashMap<SocketAddr, usize> = HashMap::new();
     loop {
-        tokio::time::sleep(LOAD_EVERY).await;
+        tokio::time::sleep(LOAD_INTERVAL).await;
         for address in shared.active_targets() {
             let from = cursors.get(&address).copied().unwrap_or(0);
             let Some(load) = relay.load(address, from).await else {
--- a/src/router/key.rs
+++ b/src/router/key.rs
@@ -1,4 +1,4 @@
-//! Keys that every part of a router uses: its incarnation, the log's streams, budgets.
+//! Identifiers used throughout a router: incarnations, the log's streams, budgets.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,10 +6,11 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Number of shard streams; all routers of a fleet must agree on it.
+/// Number of shard streams; it must be the same in all routers of a fleet.
 pub const SHARDS: u8 = 16;
 
-/// One run of one router process; a new one is drawn at random at each start and after a close.
+/// Identity of one run of a router process; drawn at random at each start, and again after a witness has closed
+/// the previous one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -43,7 +44,7 @@
         std::iter::once(Self::Config).chain((0..SHARDS).map(Self::Shard))
     }
 
-    /// The stream that holds a customer's budgets.
+    /// The stream with a customer's budgets.
     pub fn of_customer(customer: &str) -> Self {
         let shard = xxh3_64(customer.as_bytes()) % u64::from(SHARDS);
         Self::Shard(u8::try_from(shard).expect("below SHARDS"))
@@ -59,17 +60,17 @@
     }
 }
 
-/// A budget's place in its shard's ledger; the same in every router.
+/// Position of a budget in its shard's ledger; the same in every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BudgetKey {
-    /// The shard whose ledger has it.
+    /// Shard whose ledger contains it.
     pub shard: u8,
     /// Index in that ledger.
     pub index: u32,
 }
 
 impl BudgetKey {
-    /// The stream that the budget lives in.
+    /// The stream with the budget.
     pub fn stream(self) -> Stream {
         Stream::Shard(self.shard)
     }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,8 +1,8 @@
-//! The product's own interface: a router on each entry host, over a log service and a host list.
+//! The router: the product's native API, on each entry host, built on a log service and a host list.
 //!
-//! Decisions are pure code ([`control`], and the aggregates in [`budget`], [`request`], [`pool`],
-//! [`host`], [`config`]); sockets, clocks and randomness stay at the edge (`api`, [`http`], `client`
-//! and the process). A gateway uses none of this.
+//! Decisions are pure code ([`control`], and the aggregates in [`budget`], [`request`], [`pool`], [`host`],
+//! [`config`]); sockets, clocks and randomness are confined to `api`, [`http`], `client` and the process. The gateway
+//! uses none of this.
 
 mod api;
 pub mod budget;
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -1,7 +1,7 @@
-//! All targets of the configuration, with what this router knows of each, and the choice among them.
+//! The configured targets with this router's view of each, and the choice of a target for a request.
 //!
-//! A request goes to the less loaded of two targets drawn at random. Routers do not see each other's
-//! dispatches and loads lag, so every choice that prefers one place sends too much there at once.
+//! A request goes to the less loaded of two targets drawn at random. Routers do not see each other's dispatches and
+//! load reports lag, so any rule that always prefers one target would send too much there at once.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -12,21 +12,21 @@
 use crate::router::intent::{Kind, Target};
 use crate::units::{Millis, Offset};
 
-/// A load report older than this counts for nothing.
-const REPORT_KEEP: Millis = Millis(5_000);
+/// A load report older than this is ignored.
+const REPORT_MAX_AGE: Millis = Millis(5_000);
 
-/// A target's place in the pool of this process.
+/// A target's index in the pool of this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TargetKey(pub u32);
 
-/// What a request asks of a target.
+/// The requirements of a request on a target.
 #[derive(Clone, Debug)]
 pub struct Want<'a> {
     /// Engine or service.
     pub kind: Kind,
     /// Model or service name.
     pub serves: &'a str,
-    /// Targets that this request has tried.
+    /// Targets that this request has already tried.
     pub tried: &'a [TargetKey],
 }
 
@@ -35,37 +35,40 @@
 pub struct Choice {
     /// The target.
     pub target: TargetKey,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// Fence of the order.
+    /// Fence sent with the request: the version of the target's object.
     pub fence: Offset,
 }
 
-/// A target with what is known of it.
+/// A target and its state as this router sees it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Version of its object.
+    /// Version of its configuration object.
     pub fence: Offset,
-    /// Its object.
+    /// Its configuration object.
     pub spec: Target,
-    /// Requests of ours that it has.
+    /// Requests from this router that it is running.
     pub in_flight: u32,
-    /// How it has behaved.
+    /// Its recent outcomes, and whether it is ejected.
     pub health: Health,
     listed: bool,
     leaving: bool,
-    others: u32,
-    reported: Option<Millis>,
+    /// Requests from elsewhere in its last load report.
+    reported_others: u32,
+    reported_at: Option<Millis>,
 }
 
 impl Member {
     fn load(&self, now: Millis) -> f64 {
-        let fresh = self.reported.is_some_and(|at| now <= at + REPORT_KEEP);
-        let others = if fresh { self.others } else { 0 };
+        let is_fresh = self
+            .reported_at
+            .is_some_and(|at| now <= at + REPORT_MAX_AGE);
+        let others = if is_fresh { self.reported_others } else { 0 };
         f64::from(self.in_flight + others)
     }
 
-    /// Whether it gets no new work for a reason that is not its health.
+    /// Whether it gets no new requests for a reason other than its health: it is leaving, draining or not configured.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.spec.draining || !self.listed
     }
@@ -75,7 +78,7 @@
     }
 }
 
-/// The pool.
+/// All targets, grouped by what they serve.
 #[derive(Debug, Default)]
 pub struct Pool {
     members: Vec<Member>,
@@ -84,17 +87,17 @@
 }
 
 impl Pool {
-    /// Takes over the targets in force: name, version, object. Those no longer named get no work,
-    /// but keep their place for the requests that they still have.
+    /// Replaces the configured targets: name, version, object. A target that is no longer configured gets no new
+    /// requests, but keeps its key for the requests that it is still running.
     pub fn update<'a>(&mut self, targets: impl Iterator<Item = (&'a str, Offset, &'a Target)>) {
         for member in &mut self.members {
             member.listed = false;
         }
         for (name, version, target) in targets {
-            let key = self.place(name, target);
+            let key = self.find_or_add(name, target);
             let member = &mut self.members[key.0 as usize];
             member.listed = true;
-            // A mark is only ever removed by a newer one.
+            // Only a newer version replaces the object and clears the leaving mark.
             if version > member.fence {
                 member.fence = version;
                 member.spec = target.clone();
@@ -104,7 +107,7 @@
         self.regroup();
     }
 
-    fn place(&mut self, name: &str, target: &Target) -> TargetKey {
+    fn find_or_add(&mut self, name: &str, target: &Target) -> TargetKey {
         if let Some(key) = self.names.get(name) {
             return *key;
         }
@@ -116,8 +119,8 @@
             health: Health::default(),
             listed: true,
             leaving: false,
-            others: 0,
-            reported: None,
+            reported_others: 0,
+            reported_at: None,
         });
         self.names.insert(name.to_owned(), key);
         key
@@ -133,7 +136,7 @@
         }
     }
 
-    /// A target's state.
+    /// The target with this key.
     pub fn member(&self, key: TargetKey) -> &Member {
         &self.members[key.0 as usize]
     }
@@ -143,7 +146,7 @@
         (0..).map(TargetKey).zip(&self.members)
     }
 
-    /// The target at an address.
+    /// The configured target at an address.
     pub fn find(&self, address: SocketAddr) -> Option<TargetKey> {
         let mut members = self.members();
         members
@@ -151,7 +154,7 @@
             .map(|(key, _)| key)
     }
 
-    /// Whether anything serves this, leaving or ill ones apart.
+    /// Whether a target that is not leaving serves this, healthy or not.
     pub fn serves(&self, kind: Kind, name: &str) -> bool {
         self.group(kind, name)
             .iter()
@@ -163,7 +166,7 @@
         group.map_or(&[], Vec::as_slice)
     }
 
-    /// The host list says that the target at this address leaves, or is live again.
+    /// Marks the target at this address as leaving, or as available again, by the host list.
     pub fn set_leaving(&mut self, address: SocketAddr, leaving: bool) {
         for member in &mut self.members {
             if member.spec.address == address {
@@ -172,14 +175,14 @@
         }
     }
 
-    /// A target's own report: requests that it has in all.
+    /// Records a target's load report: the number of requests that it is running for all routers.
     pub fn report(&mut self, now: Millis, key: TargetKey, running: u32) {
         let member = &mut self.members[key.0 as usize];
-        member.others = running.saturating_sub(member.in_flight);
-        member.reported = Some(now);
+        member.reported_others = running.saturating_sub(member.in_flight);
+        member.reported_at = Some(now);
     }
 
-    /// Chooses a target with a free slot; `None` where there is none now.
+    /// Chooses a target with a free slot; `None` if there is none.
     pub fn choose<R: Rng>(&self, now: Millis, want: &Want<'_>, rng: &mut R) -> Option<Choice> {
         let candidates = self.candidates(now, want);
         let (a, b) = (draw(&candidates, rng)?, draw(&candidates, rng)?);
@@ -205,18 +208,18 @@
             let member = self.member(*key);
             Candidate {
                 target: *key,
-                busy: member.load(now) / f64::from(member.spec.slots.max(1)),
+                utilization: member.load(now) / f64::from(member.spec.slots.max(1)),
             }
         };
         group.iter().filter(fits).map(candidate).collect()
     }
 
-    /// A request goes to a target.
+    /// Records that a request was dispatched to a target.
     pub fn dispatched(&mut self, key: TargetKey) {
         self.members[key.0 as usize].in_flight += 1;
     }
 
-    /// A request has come back from a target.
+    /// Records that a request to a target has ended, with the outcome if it counts for the target's health.
     pub fn finished(&mut self, now: Millis, key: TargetKey, outcome: Option<Outcome>) {
         let member = &mut self.members[key.0 as usize];
         member.in_flight = member.in_flight.saturating_sub(1);
@@ -233,13 +236,14 @@
 
     fn may_eject(&self, now: Millis, group: &(Kind, String)) -> bool {
         let group = self.groups.get(group).map_or(&[][..], Vec::as_slice);
-        let out = group
+        let ejected = group
             .iter()
             .filter(|key| self.member(**key).health.is_ejected(now));
-        ejection::leaves_enough(out.count(), group.len())
+        ejection::leaves_enough(ejected.count(), group.len())
     }
 
-    /// Requests a second that a group finishes, as far as known: slots over average time.
+    /// Estimated throughput of a group in requests per second: slots over mean request time, 1 s for a target
+    /// without a mean.
     pub fn rate(&self, now: Millis, kind: Kind, serves: &str) -> f64 {
         let group = self.group(kind, serves);
         let usable = group
@@ -248,19 +252,19 @@
             .filter(|member| !member.is_leaving() && !member.health.is_ejected(now));
         usable
             .map(|member| {
-                let whole = member.health.mean_time().unwrap_or(1_000.0).max(1.0);
-                f64::from(member.spec.slots) * 1_000.0 / whole
+                let mean_ms = member.health.mean_time().unwrap_or(1_000.0).max(1.0);
+                f64::from(member.spec.slots) * 1_000.0 / mean_ms
             })
             .sum()
     }
 }
 
-/// A target that may be chosen.
+/// A target that fits the request.
 #[derive(Clone, Copy, Debug)]
 struct Candidate {
     target: TargetKey,
-    /// Requests that it is thought to have, as a share of its slots.
-    busy: f64,
+    /// Estimated load as a fraction of its slots.
+    utilization: f64,
 }
 
 fn draw<R: Rng>(candidates: &[Candidate], rng: &mut R) -> Option<Candidate> {
@@ -270,9 +274,9 @@
     Some(candidates[rng.random_range(0..candidates.len())])
 }
 
-/// The less loaded of two; a tie is drawn, lest all routers agree on the first.
+/// The less loaded of two; a tie is broken at random, so that routers do not all choose the first.
 fn less_loaded<R: Rng>(a: Candidate, b: Candidate, rng: &mut R) -> TargetKey {
-    let takes_second = match b.busy.total_cmp(&a.busy) {
+    let takes_second = match b.utilization.total_cmp(&a.utilization) {
         std::cmp::Ordering::Less => true,
         std::cmp::Ordering::Equal => rng.random_range(0..=1) == 0,
         std::cmp::Ordering::Greater => false,
--- a/src/router/process.rs
+++ b/src/router/process.rs
@@ -1,4 +1,4 @@
-//! A router process: one thread for the control state, others for traffic.
+//! A router process: one thread for the control state, the others for traffic.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,36 +23,36 @@
 use crate::signals::Signals;
 use crate::wire;
 
-/// Longest time to write the last answers of a stop. All has been decided by then, so only callers that do not
-/// read their answers, or never send the rest of a head, take as long; without a bound one of them keeps the
-/// process up until it is killed. As long as a head may take.
+/// Longest time that a stop waits for the last responses to be written. All requests are decided by then, so only
+/// callers that do not read their responses, or never send the rest of a head, take this long; without a bound one
+/// of them would keep the process running until it is killed. As long as the timeout for a head.
 const LAST_ANSWERS_MAX: Duration = Duration::from_secs(30);
 
-/// What a router is started with.
+/// Configuration and bound listeners of a router process.
 pub struct Options {
     /// Settings of the control state.
     pub settings: Settings,
-    /// Bound for callers and operators.
+    /// Listener for callers and operators.
     pub entry: TcpListener,
-    /// Bound for other routers.
+    /// Listener for other routers.
     pub peers: TcpListener,
-    /// The log.
+    /// Client of the log.
     pub log: HttpLog,
-    /// The host list.
+    /// Client of the host list.
     pub hosts: HttpHosts,
     /// Hash of the operators' secret.
     pub operator_hash: String,
-    /// The fleet's key.
+    /// Key that authenticates the routers of the fleet to each other.
     pub fleet_key: String,
-    /// Longest body taken, in bytes.
+    /// Longest accepted body, in bytes.
     pub body_max: usize,
-    /// Longest silence of a target.
+    /// Longest time without data from a target.
     pub silence: Duration,
-    /// What stops it, and has its settings read again.
+    /// Signals that stop the process or make it read its settings again.
     pub signals: Signals,
 }
 
-/// Runs a router until SIGTERM or SIGINT, and then until all that it has begun is done.
+/// Runs a router until SIGTERM or SIGINT, and then until the work in progress is done.
 pub async fn run(mut options: Options) {
     let (input, inputs) = mpsc::unbounded_channel();
     let shared = Arc::new(Shared::new(
@@ -69,7 +69,7 @@
         options.silence,
     );
     feed::spawn(&shared, options.log.clone(), options.hosts);
-    let peers = Peers::spawn(&shared, options.peers, &options.fleet_key);
+    let peers = PeerServer::spawn(&shared, options.peers, &options.fleet_key);
     let server = Server::default();
     let entry = Entry::new(routes(&shared), options.body_max);
     entry.listen(&server, options.entry);
@@ -77,19 +77,19 @@
     stop(&shared, done, &entry, &server, peers).await;
 }
 
-/// Stops in an order in which nothing that was read goes without an answer: work is refused, what has begun
-/// is done, then callers' connections end, and last those of other routers.
+/// Stops in an order in which every request that was read gets a response: new work is refused, work in progress
+/// finishes, then the callers' connections are closed, and last those of other routers.
 async fn stop(
     shared: &Shared,
     done: oneshot::Receiver<()>,
     entry: &Entry,
     server: &Server,
-    peers: Peers,
+    peers: PeerServer,
 ) {
     tracing::info!(event = "stopping", connections = server.connections());
     entry.stop();
     shared.tell(Input::Stop);
-    // Without an answer the control thread has ended, which is the same.
+    // An error means that the control thread has ended, which is equivalent.
     let _ = done.await;
     tracing::info!(event = "closing", connections = server.connections());
     entry.close();
@@ -102,13 +102,13 @@
     tracing::info!(event = "stopped");
 }
 
-/// What serves other routers.
-struct Peers {
+/// The listener for other routers.
+struct PeerServer {
     closing: CancellationToken,
     serving: JoinHandle<()>,
 }
 
-impl Peers {
+impl PeerServer {
     fn spawn(shared: &Arc<Shared>, listener: TcpListener, fleet_key: &str) -> Self {
         let shared = Arc::clone(shared);
         let key_hash = crate::util::hash_secret(fleet_key);
@@ -121,7 +121,7 @@
         Self { closing, serving }
     }
 
-    /// Takes no further question, and waits until those that have come are answered.
+    /// Accepts no further requests, and waits until those already received are answered.
     async fn close(self) {
         self.closing.cancel();
         if let Err(error) = self.serving.await {
@@ -130,8 +130,8 @@
     }
 }
 
-/// Gives a handler its own hold on the shared state.
-macro_rules! with {
+/// Builds a handler that owns a reference to the shared state.
+macro_rules! handler {
     ($shared:ident, |$($arg:ident: $kind:ty),*| $body:expr) => {{
         let $shared = Arc::clone($shared);
         move |$($arg: $kind),*| {
@@ -142,31 +142,31 @@
 }
 
 fn routes(shared: &Arc<Shared>) -> Router {
-    let entry = with!(shared, |headers: Headers| caller::entry(shared, headers.0));
-    let chat = with!(shared, |headers: Headers, body: Bytes| caller::chat(
+    let entry = handler!(shared, |headers: Headers| caller::entry(shared, headers.0));
+    let chat = handler!(shared, |headers: Headers, body: Bytes| caller::chat(
         shared, headers.0, body
     ));
-    let service = with!(shared, |name: PathParams<String>,
-                                 headers: Headers,
-                                 body: Bytes| {
+    let service = handler!(shared, |name: PathParams<String>,
+                                    headers: Headers,
+                                    body: Bytes| {
         caller::service(shared, name.0, headers.0, body)
     });
-    let intent = with!(shared, |headers: Headers, body: Bytes| {
+    let intent = handler!(shared, |headers: Headers, body: Bytes| {
         operator::intent(shared, headers.0, body)
     });
-    let confirm = with!(shared, |headers: Headers, body: Bytes| {
+    let confirm = handler!(shared, |headers: Headers, body: Bytes| {
         operator::confirm(shared, headers.0, body)
     });
-    let explain = with!(shared, |id: PathParams<String>, headers: Headers| {
+    let explain = handler!(shared, |id: PathParams<String>, headers: Headers| {
         operator::explain(shared, id.0, headers.0)
     });
-    let status = with!(shared, |headers: Headers| operator::status(
+    let status = handler!(shared, |headers: Headers| operator::status(
         shared, headers.0
     ));
-    let config = with!(shared, |headers: Headers| operator::config(
+    let config = handler!(shared, |headers: Headers| operator::config(
         shared, headers.0
     ));
-    let burn = with!(shared, |headers: Headers| operator::burn(shared, headers.0));
+    let burn = handler!(shared, |headers: Headers| operator::burn(shared, headers.0));
     Router::new()
         .route("/v1/entry", get(entry))
         .route("/v1/chat/completions", post(chat))
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -1,4 +1,4 @@
-//! What the threads of a router share.
+//! State shared by the threads of a router.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -19,44 +19,45 @@
 use crate::router::report::{Metrics, Trail};
 use crate::router::request::{Id, Prefix, Ticket};
 
-/// Numbers of requests that came without an id: between callers' and those of takeovers.
-const NUMBERS: std::ops::Range<u32> = 1 << 31..3 << 30;
+/// Numbers for the ids of requests that came without one: above the callers' numbers and below those of takeovers.
+const GENERATED_NUMBERS: std::ops::Range<u32> = 1 << 31..3 << 30;
 
-/// A target counts as active for this long after work of ours.
-const ACTIVE: Duration = Duration::from_secs(10);
+/// A target counts as active for this long after the last dispatch to it.
+const ACTIVE_FOR: Duration = Duration::from_secs(10);
 
-/// The shared state.
+/// State shared by the control thread, the listeners and the polling tasks.
 pub struct Shared {
     input: mpsc::UnboundedSender<Input>,
     /// The configuration in force.
     pub config: ArcSwap<Config>,
-    /// What ids are made of now.
+    /// Current prefix of generated request ids.
     pub prefix: ArcSwap<Prefix>,
     /// Answers in progress, and those kept for retries.
     pub answers: Answers,
-    /// Latencies and burn.
+    /// Latencies and error budget burn.
     pub metrics: Metrics,
-    /// Decisions on recent requests.
+    /// Log of decisions on recent requests.
     pub trail: Trail,
     /// Hash of the operators' secret.
     pub operator_hash: String,
-    /// The fleet's key.
+    /// Key that authenticates the routers of the fleet to each other.
     pub fleet_key: String,
     pub(super) log: HttpLog,
     is_ready: AtomicBool,
     active: Mutex<HashMap<SocketAddr, Instant>>,
-    waiting: Mutex<HashMap<ReplyToken, oneshot::Sender<Action>>>,
-    next: AtomicU64,
-    number: AtomicU32,
+    pending_replies: Mutex<HashMap<ReplyToken, oneshot::Sender<Action>>>,
+    /// Next reply token or ticket.
+    next_token: AtomicU64,
+    next_request_number: AtomicU32,
 }
 
 impl Shared {
-    /// Whether the log has been read to its end once: before, nobody is known.
+    /// Whether the log has been read to its end once; before that, no customer is known.
     pub fn is_ready(&self) -> bool {
         self.is_ready.load(Ordering::Acquire)
     }
 
-    /// Notes whether the control state has read the log to its end once.
+    /// Sets whether the control state has read the log to its end once.
     pub(super) fn set_ready(&self, is_ready: bool) {
         self.is_ready.store(is_ready, Ordering::Release);
     }
@@ -84,23 +85,23 @@
             fleet_key,
             log,
             active: Mutex::default(),
-            waiting: Mutex::default(),
-            next: AtomicU64::new(1),
-            number: AtomicU32::new(NUMBERS.start),
+            pending_replies: Mutex::default(),
+            next_token: AtomicU64::new(1),
+            next_request_number: AtomicU32::new(GENERATED_NUMBERS.start),
         }
     }
 
-    /// Tells the control state something.
+    /// Sends an input to the control state.
     pub fn tell(&self, input: Input) {
         // The control thread ends only with the process.
         let _ = self.input.send(input);
     }
 
-    /// Asks the control state something; `None` where the process ends first.
+    /// Sends a question to the control state and waits for the reply; `None` if the process ends first.
     pub async fn ask(&self, question: impl FnOnce(ReplyToken) -> Input) -> Option<Action> {
-        let token = self.next.fetch_add(1, Ordering::Relaxed);
+        let token = self.next_token.fetch_add(1, Ordering::Relaxed);
         let (send, receive) = oneshot::channel();
-        self.waiting
+        self.pending_replies
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(token, send);
@@ -108,16 +109,16 @@
         receive.await.ok()
     }
 
-    /// Gives an answer to whoever waits for it.
+    /// Delivers a reply to the task that waits for it.
     pub(super) fn reply(&self, token: ReplyToken, action: Action) {
-        let waiting = self
-            .waiting
+        let receiver = self
+            .pending_replies
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .remove(&token);
-        if let Some(waiting) = waiting {
-            // Whoever asked has left.
-            let _ = waiting.send(action);
+        if let Some(receiver) = receiver {
+            // The asking task may have been cancelled.
+            let _ = receiver.send(action);
         }
     }
 
@@ -131,7 +132,7 @@
         }
     }
 
-    /// Addresses that a customer should use.
+    /// Entry addresses that a customer should use.
     pub async fn entries(&self, customer: String) -> Option<Vec<Address>> {
         match self.ask(|token| Input::Entry { token, customer }).await {
             Some(Action::Entries { entries, .. }) => {
@@ -145,40 +146,40 @@
         }
     }
 
-    /// A ticket for an arrival.
+    /// A new ticket for an arriving request.
     pub fn ticket(&self) -> Ticket {
-        Ticket(self.next.fetch_add(1, Ordering::Relaxed))
+        Ticket(self.next_token.fetch_add(1, Ordering::Relaxed))
     }
 
-    /// An id for a request that came without one.
+    /// A new id for a request that came without one.
     pub fn own_id(&self) -> Id {
-        let number = self.number.fetch_add(1, Ordering::Relaxed);
-        let span = NUMBERS.end - NUMBERS.start;
-        let number = NUMBERS.start + number.wrapping_sub(NUMBERS.start) % span;
+        let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
+        let span = GENERATED_NUMBERS.end - GENERATED_NUMBERS.start;
+        let number = GENERATED_NUMBERS.start + number.wrapping_sub(GENERATED_NUMBERS.start) % span;
         self.prefix.load().with_number(number)
     }
 
-    /// Hands an arrival over.
+    /// Submits an arriving request to the control state.
     pub fn arrive(&self, spec: Spec, answer: Arc<Answer>) {
-        let what = format!(
+        let text = format!(
             "arrived: {} of class {}, paid by {}, at most {} tokens before the price",
             spec.serves, spec.class, spec.budget, spec.max_tokens
         );
-        self.trail.note(spec.id, what);
+        self.trail.note(spec.id, text);
         self.answers.insert(spec.ticket, answer);
         self.tell(Input::Arrive(spec));
     }
 
-    /// A target has work of ours.
-    pub(super) fn note_active(&self, target: SocketAddr) {
+    /// Records a dispatch to a target.
+    pub(super) fn mark_active(&self, target: SocketAddr) {
         let mut active = self.active.lock().unwrap_or_else(PoisonError::into_inner);
         active.insert(target, Instant::now());
     }
 
-    /// Targets that have had work of ours lately.
+    /// Targets to which this router has dispatched lately.
     pub(super) fn active_targets(&self) -> Vec<SocketAddr> {
         let mut active = self.active.lock().unwrap_or_else(PoisonError::into_inner);
-        active.retain(|_, at| at.elapsed() < ACTIVE);
+        active.retain(|_, at| at.elapsed() < ACTIVE_FOR);
         active.keys().copied().collect()
     }
 
