--- a/tests/checkpoints.rs
+++ b/tests/checkpoints.rs
@@ -1,4 +1,5 @@
-//! Following a stream: from its start, past its retention, and from a peer.
+//! Following a stream from its start, from behind the log's retention, and from a peer's state. Guards against a
+//! follower that skips records, misses a digest mismatch or goes back to an older state.
 
 use lanedeck::router::budget::Ledger;
 use lanedeck::router::intent::{Change, Plan, Terms};
@@ -8,7 +9,7 @@
 
 const WRITER: Incarnation = Incarnation(5);
 
-/// A stream with a budget, some grants, a mark at offset 6, and more grants after it.
+/// A stream with a budget, four grants, a mark at offset 6, and three more grants.
 fn stream() -> Vec<(Offset, Batch)> {
     let terms = Terms {
         customer: "c".into(),
@@ -60,7 +61,8 @@
     )
 }
 
-fn whole() -> (Follower<Ledger>, Checkpoint) {
+/// A follower of the whole stream, and its checkpoint at the mark.
+fn follow_stream() -> (Follower<Ledger>, Checkpoint) {
     let mut follower = Follower::default();
     let progress = follower.apply_batches(Offset(1), &stream());
     (follower, progress.marked.expect("a mark was read"))
@@ -68,27 +70,27 @@
 
 #[test]
 fn past_retention() {
-    let (mut full, checkpoint) = whole();
+    let (mut full, checkpoint) = follow_stream();
     let mut batches = stream();
     batches.push(checkpoint_batch(10, checkpoint));
     full.apply_batches(Offset(1), &batches);
-    let kept = &batches[6..];
+    let retained = &batches[6..];
     let mut late: Follower<Ledger> = Follower::default();
-    late.apply_batches(Offset(7), kept);
+    late.apply_batches(Offset(7), retained);
     assert_eq!(late.applied(), Offset(10));
     assert_eq!(late.snapshot().digest, full.snapshot().digest);
-    // Without a checkpoint it knows nothing, and says so by staying where it is.
-    let mut lost: Follower<Ledger> = Follower::default();
-    lost.apply_batches(Offset(7), &kept[..2]);
-    assert_eq!(lost.applied(), Offset(0));
+    // Without a checkpoint it cannot know the state, so it stays at offset 0.
+    let mut no_checkpoint: Follower<Ledger> = Follower::default();
+    no_checkpoint.apply_batches(Offset(7), &retained[..2]);
+    assert_eq!(no_checkpoint.applied(), Offset(0));
 }
 
 #[test]
 fn digest_differs() {
-    let (mut follower, mut checkpoint) = whole();
+    let (mut follower, mut checkpoint) = follow_stream();
     assert_eq!(checkpoint.through, Offset(6));
-    let good = follower.apply_batches(Offset(1), &[checkpoint_batch(10, checkpoint.clone())]);
-    assert!(good.checkpointed && good.violations.is_empty());
+    let matching = follower.apply_batches(Offset(1), &[checkpoint_batch(10, checkpoint.clone())]);
+    assert!(matching.checkpointed && matching.violations.is_empty());
     checkpoint.digest += 1;
     let entries = vec![Entry {
         seq: 2,
@@ -98,20 +100,27 @@
         writer: Incarnation(6),
         entries,
     };
-    let bad = follower.apply_batches(Offset(1), &[(Offset(11), batch)]);
+    let mismatch = follower.apply_batches(Offset(1), &[(Offset(11), batch)]);
     assert!(
-        matches!(bad.violations[..], [Violation::Digest { .. }]),
-        "{bad:?}"
+        matches!(mismatch.violations[..], [Violation::Digest { .. }]),
+        "{mismatch:?}"
     );
 }
 
 #[test]
 fn never_back() {
-    let (mut follower, older) = whole();
+    let (mut follower, older) = follow_stream();
     let before = follower.snapshot();
-    assert!(!follower.restore(&older), "an older state");
+    assert!(
+        !follower.restore(&older),
+        "an older checkpoint is not restored"
+    );
     follower.apply_batches(Offset(1), &stream());
-    assert_eq!(follower.snapshot(), before, "old records again");
+    assert_eq!(
+        follower.snapshot(),
+        before,
+        "applied batches are not applied again"
+    );
     let mut newer = Follower::<Ledger>::default();
     assert!(newer.restore(&older) && newer.applied() == Offset(6));
     let broken = Checkpoint {
@@ -120,7 +129,7 @@
     };
     assert!(
         !newer.restore(&broken),
-        "a state that does not have its digest"
+        "a state that does not match its digest is not restored"
     );
     newer.apply_batches(Offset(1), &stream());
     assert_eq!(newer.snapshot().digest, follower.snapshot().digest);
--- a/tests/entry_answers.rs
+++ b/tests/entry_answers.rs
@@ -1,4 +1,4 @@
-//! Which hosts a customer is sent to.
+//! Which entry hosts a customer gets: spread evenly, stable when a host is lost, and only hosts that are well.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -31,7 +31,7 @@
 }
 
 fn entries(membership: &Membership, share: usize) -> BTreeMap<String, Vec<SocketAddr>> {
-    let customers = (0..1_000).map(|one| format!("customer-{one}"));
+    let customers = (0..1_000).map(|number| format!("customer-{number}"));
     customers
         .map(|name| {
             let hosts = membership.entry_hosts(Millis(2), &name, share);
@@ -53,7 +53,7 @@
         assert_eq!(kept, still, "{name} keeps its other hosts, in their order");
         moved += usize::from(kept.len() < hosts.len());
     }
-    // Three of eight hosts each: the lost one had three in eight of the customers.
+    // Each customer has three of eight hosts, so the lost host served about three eighths of the customers.
     assert!(
         (300..450).contains(&moved),
         "{moved} of 1000 had the lost host"
@@ -83,13 +83,13 @@
     let mut membership = membership(4, None);
     let named = |membership: &Membership, now: u64, place: u16| {
         let hosts = membership.entry_hosts(Millis(now), "c", 4);
-        hosts.iter().any(|one| one.entry == peer(place).entry)
+        hosts.iter().any(|host| host.entry == peer(place).entry)
     };
     assert!(named(&membership, 2, 1));
     membership.set_listed(&[(peer(1).address, true), (peer(2).address, false)]);
-    assert!(!named(&membership, 2, 1), "the list says that it leaves");
-    assert!(named(&membership, 2, 3), "missing in a list that lags");
-    // A host that the list still shows, but that does not go on, is left out, and is back.
+    assert!(!named(&membership, 2, 1), "the list marks it as leaving");
+    assert!(named(&membership, 2, 3), "absent from a list that lags");
+    // A listed host whose counter stops is left out until its counter increases again.
     assert!(!named(&membership, 10_000, 2));
     membership.observe(
         Millis(10_000),
@@ -108,7 +108,7 @@
         },
     );
     assert!(!named(&membership, 10_001, 2));
-    // An older word does not take the newer back.
+    // A message with an older counter does not replace a newer one.
     membership.observe(
         Millis(10_002),
         &Peer {
@@ -123,9 +123,9 @@
 fn witness_elsewhere() {
     let membership = membership(8, None);
     let witness = membership.choose_witness(Millis(2), |_| true).unwrap();
-    assert_ne!(witness.hall, "h0", "in another hall");
+    assert_ne!(witness.hall, "h0", "a witness in another hall is preferred");
     let only = membership
         .choose_witness(Millis(2), |peer| peer.hall == "h0")
         .unwrap();
-    assert_eq!(only.hall, "h0", "unless there is none");
+    assert_eq!(only.hall, "h0", "the own hall is used if no other matches");
 }
--- a/tests/log_faults.rs
+++ b/tests/log_faults.rs
@@ -1,4 +1,5 @@
-//! The log down, slow, and answering after it has acted.
+//! Faults of the log: it is down, slow, loses the answer to an append that it carried out, or has dropped old
+//! records. Guards against refusing what a grant covers, billing twice and a restarted router with another state.
 
 mod common;
 
@@ -21,8 +22,8 @@
 fn served_from_grant() {
     let area = Area::new(1, 2);
     let mut calls = 0;
-    // Until the grant covers more than the next call.
-    area.wait("a grant to live on", |area| {
+    // Calls are made until the grant covers more than the next call.
+    area.wait("a grant for further calls", |area| {
         for _ in 0..5 {
             assert!(ran(&call(area, 0)));
         }
@@ -32,10 +33,10 @@
     std::thread::sleep(std::time::Duration::from_millis(300));
     while ran(&call(&area, 0)) {
         calls += 1;
-        assert!(calls < 10_000, "a grant has an end");
+        assert!(calls < 10_000, "calls end with the grant");
     }
     assert!(calls >= 10, "served {calls} calls from the grant");
-    // What it cannot serve it refuses at once, and says when to come back.
+    // A call that the grant does not cover is refused at once, with a time to retry.
     let start = std::time::Instant::now();
     let refused = call(&area, 0);
     assert_eq!(
@@ -44,7 +45,7 @@
         "{refused:?}"
     );
     assert!(!refused.header("retry-after").is_empty());
-    assert!(start.elapsed().as_secs() < 5, "told at once");
+    assert!(start.elapsed().as_secs() < 5, "refused at once");
     area.faults(&area.log, &json!({"down": false}));
     area.wait("it serves again", |area| ran(&call(area, 0)));
     let seen = area.seen("kiosks");
@@ -64,7 +65,7 @@
         }
     }
     assert!(billed > 0);
-    // An append whose answer was lost is appended again; it counts once.
+    // An append whose answer was lost is sent again and takes effect once.
     area.budget("second", "kiosks", 500);
     let seen = area.settled("kiosks", billed);
     assert_eq!(seen["in_doubt"], 0);
@@ -80,14 +81,14 @@
 fn past_retention() {
     let mut area = Area::with_options(1, 2, &["--checkpoint-every=10", "--append-gap=5"], &[]);
     area.faults(&area.log, &json!({"retain": 60}));
-    let stream = |status: &Value, name: &str| {
+    let applied_offset = |status: &Value, name: &str| {
         let applied = status["applied"].as_array().cloned().unwrap_or_default();
-        let one = applied.into_iter().find(|one| one[0] == name);
-        one.map_or(0, |one| one[1].as_u64().unwrap_or_default())
+        let entry = applied.into_iter().find(|entry| entry[0] == name);
+        entry.map_or(0, |entry| entry[1].as_u64().unwrap_or_default())
     };
     let shard = lanedeck::router::key::Stream::of_customer("kiosks").to_string();
     let mut prepaid = PREPAID;
-    while stream(&area.status(0), &shard) < 150 {
+    while applied_offset(&area.status(0), &shard) < 150 {
         prepaid += 1;
         area.budget("kiosks", "kiosks", prepaid);
         assert!(ran(&call(&area, 0)));
