--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use lanedeck::router::intent::{Kind, Target};
-use lanedeck::router::pool::{Pool, Want};
+use lanedeck::router::pool::{Pool, TargetQuery};
 use lanedeck::units::{Millis, Offset, Tokens};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -54,13 +54,13 @@
             .map(|(name, target)| (name.as_str(), Offset(1), target)),
     );
     let mut rng = StdRng::seed_from_u64(1);
-    let want = Want {
+    let query = TargetQuery {
         kind: Kind::Engine,
         serves: "m",
         tried: &[],
     };
     measure(|_| {
-        let choice = pool.choose(Millis(1), &want, &mut rng).unwrap();
+        let choice = pool.choose(Millis(1), &query, &mut rng).unwrap();
         std::hint::black_box(choice);
     })
 }
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::ejection::Outcome;
 use crate::router::intent::Kind;
 use crate::router::message::Notice;
-use crate::router::pool::{Choice, Want};
+use crate::router::pool::{Choice, TargetQuery};
 use crate::router::request::{Id, Reason, Ticket, Verdict, Waiting};
 use crate::units::{Millis, Tokens};
 
@@ -404,10 +404,10 @@
     job: &Job,
     rng: &mut R,
 ) -> Option<Choice> {
-    let want = Want {
+    let query = TargetQuery {
         kind: job.spec.kind,
         serves: &job.spec.serves,
         tried: &job.tried,
     };
-    pool.choose(now, &want, rng)
+    pool.choose(now, &query, rng)
 }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -21,7 +21,7 @@
 
 /// The requirements of a request on a target.
 #[derive(Clone, Debug)]
-pub struct Want<'a> {
+pub struct TargetQuery<'a> {
     /// Engine or service.
     pub kind: Kind,
     /// Model or service name.
@@ -183,8 +183,13 @@
     }
 
     /// Chooses a target with a free slot; `None` if there is none.
-    pub fn choose<R: Rng>(&self, now: Millis, want: &Want<'_>, rng: &mut R) -> Option<Choice> {
-        let candidates = self.candidates(now, want);
+    pub fn choose<R: Rng>(
+        &self,
+        now: Millis,
+        query: &TargetQuery<'_>,
+        rng: &mut R,
+    ) -> Option<Choice> {
+        let candidates = self.candidates(now, query);
         let (a, b) = (draw(&candidates, rng)?, draw(&candidates, rng)?);
         let target = less_loaded(a, b, rng);
         let member = self.member(target);
@@ -195,14 +200,14 @@
         })
     }
 
-    fn candidates(&self, now: Millis, want: &Want<'_>) -> Vec<Candidate> {
-        let group = self.group(want.kind, want.serves);
+    fn candidates(&self, now: Millis, query: &TargetQuery<'_>) -> Vec<Candidate> {
+        let group = self.group(query.kind, query.serves);
         let fits = |key: &&TargetKey| {
             let member = self.member(**key);
             !member.is_leaving()
                 && !member.health.is_ejected(now)
                 && member.has_slot(now)
-                && !want.tried.contains(*key)
+                && !query.tried.contains(*key)
         };
         let candidate = |key: &TargetKey| {
             let member = self.member(*key);
--- a/tests/target_choice.rs
+++ b/tests/target_choice.rs
@@ -4,7 +4,7 @@
 
 use lanedeck::ejection::Outcome;
 use lanedeck::router::intent::{Kind, Target};
-use lanedeck::router::pool::{Pool, TargetKey, Want};
+use lanedeck::router::pool::{Pool, TargetKey, TargetQuery};
 use lanedeck::units::{Millis, Offset, Tokens};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
@@ -39,7 +39,7 @@
     );
 }
 
-const WANT: Want<'static> = Want {
+const WANT: TargetQuery<'static> = TargetQuery {
     kind: Kind::Engine,
     serves: "m",
     tried: &[],
