--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -111,7 +111,7 @@
 
 fn request_id(shared: &Shared, headers: &HeaderMap) -> Result<Id, Wrong> {
     let Some(id) = text(headers, REQUEST_ID) else {
-        return Ok(shared.own_id());
+        return Ok(shared.generate_id());
     };
     let wrong = |why: &str| {
         let message =
@@ -232,7 +232,7 @@
         arrived: Instant::now(),
     };
     let spec = Spec {
-        ticket: shared.ticket(),
+        ticket: shared.next_ticket(),
         id: caller.id,
         fingerprint: hash.digest(),
         customer: caller.customer.clone(),
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -147,12 +147,12 @@
     }
 
     /// A new ticket for an arriving request.
-    pub fn ticket(&self) -> Ticket {
+    pub fn next_ticket(&self) -> Ticket {
         Ticket(self.next_token.fetch_add(1, Ordering::Relaxed))
     }
 
     /// A new id for a request that came without one.
-    pub fn own_id(&self) -> Id {
+    pub fn generate_id(&self) -> Id {
         let number = self.next_request_number.fetch_add(1, Ordering::Relaxed);
         let span = GENERATED_NUMBERS.end - GENERATED_NUMBERS.start;
         let number = GENERATED_NUMBERS.start + number.wrapping_sub(GENERATED_NUMBERS.start) % span;
