--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -122,7 +122,7 @@
 
 fn request_id(shared: &Shared, headers: &HeaderMap) -> Result<Id, RequestError> {
     let Some(id) = header_text(headers, REQUEST_ID) else {
-        return Ok(shared.own_id());
+        return Ok(shared.generate_id());
     };
     let wrong = |why: &str| {
         let message =
@@ -243,7 +243,7 @@
         arrived: Instant::now(),
     };
     let spec = Spec {
-        ticket: shared.ticket(),
+        ticket: shared.next_ticket(),
         id: caller.id,
         fingerprint: hash.digest(),
         customer: caller.customer.clone(),
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -55,7 +55,7 @@
         me.epoch = epoch;
         me.applied = applied;
         me.leaving = leaving;
-        let mut receivers = self.membership.round(self.now, &mut self.rng);
+        let mut receivers = self.membership.start_round(self.now, &mut self.rng);
         let me = self.incarnation();
         let wards = self.named_wards();
         let to_move = wards.filter(|ward| leaving || ward.witness != me);
@@ -63,7 +63,7 @@
         receivers.sort_unstable();
         receivers.dedup();
         for to in receivers {
-            let peers = self.membership.tell(self.now, &mut self.rng);
+            let peers = self.membership.gossip(self.now, &mut self.rng);
             self.call(to, PendingCall::Heartbeat, Request::Heartbeat { peers });
         }
         self.request_state();
@@ -95,7 +95,7 @@
         let reply = match request {
             Request::Heartbeat { peers } => {
                 self.record_peers(&peers);
-                let peers = self.membership.tell(self.now, &mut self.rng);
+                let peers = self.membership.gossip(self.now, &mut self.rng);
                 Reply::Heartbeat { peers }
             }
             Request::Replicate { to, holder, .. } if !self.is_witness_of(to, holder) => {
@@ -131,7 +131,7 @@
             .map_or(0, |c| c.concurrency);
         let share = 1 + (concurrency / CONCURRENCY_PER_ENTRY_SHARE) as usize;
         let me = self.prefix();
-        let peers = self.membership.entries(self.now, customer, share);
+        let peers = self.membership.entry_hosts(self.now, customer, share);
         let entries = peers
             .into_iter()
             .map(|peer| {
@@ -149,7 +149,7 @@
 
     fn record_peers(&mut self, peers: &[Peer]) {
         for peer in peers {
-            self.membership.heard(self.now, peer);
+            self.membership.observe(self.now, peer);
         }
     }
 
@@ -221,8 +221,8 @@
         if shard >= SHARDS {
             return TakeoverAnswer::Unknown;
         }
-        let member = self.ledger(shard).sequence().member(id.incarnation);
-        if member.gone.is_none() {
+        let member = self.ledger(shard).sequence().writer(id.incarnation);
+        if member.departed_at.is_none() {
             return TakeoverAnswer::Alive;
         }
         let named = member.witness;
@@ -326,7 +326,7 @@
     /// Whether a request is in doubt and this process, as the witness `name`, decides its outcome.
     fn decides_doubt(&self, name: Incarnation, id: Id, budget: BudgetKey) -> bool {
         let ledger = self.ledger(budget.shard);
-        let witness = ledger.sequence().member(id.incarnation).witness;
+        let witness = ledger.sequence().writer(id.incarnation).witness;
         let key = (id.incarnation, id.nonce);
         witness == Some(name)
             && ledger
@@ -335,8 +335,8 @@
     }
 
     fn is_witness_in(&self, shard: u8, name: Incarnation, holder: Incarnation) -> bool {
-        let member = self.ledger(shard).sequence().member(holder);
-        member.gone.is_none() && member.witness == Some(name)
+        let member = self.ledger(shard).sequence().writer(holder);
+        member.departed_at.is_none() && member.witness == Some(name)
     }
 
     /// The log writer of this process as the witness `name`.
@@ -358,7 +358,7 @@
         self.past_writers
             .retain(|(name, _), _| witnesses.contains_key(name));
         self.membership
-            .drop_past(|name| witnesses.contains_key(&name));
+            .retain_past(|name| witnesses.contains_key(&name));
     }
 
     /// Writes closes, and the bills decided after them, until the ledgers have applied them.
@@ -390,7 +390,7 @@
     fn write_resolve(&mut self, name: Incarnation, resolved: Resolved) {
         let Resolved { id, budget, billed } = resolved;
         let ledger = self.ledger(budget.shard);
-        if !ledger.sequence().is_gone(id.incarnation) {
+        if !ledger.sequence().has_departed(id.incarnation) {
             return;
         }
         let key = (id.incarnation, id.nonce);
--- a/src/router/control/streams.rs
+++ b/src/router/control/streams.rs
@@ -22,8 +22,8 @@
         batches: &[(Offset, Batch)],
     ) {
         let progress = match stream {
-            Stream::Config => self.config.take(first, batches),
-            Stream::Shard(shard) => self.ledgers[usize::from(shard)].take(first, batches),
+            Stream::Config => self.config.apply_batches(first, batches),
+            Stream::Shard(shard) => self.ledgers[usize::from(shard)].apply_batches(first, batches),
         };
         // If the log no longer has the next offset and no checkpoint was found, the state is not usable yet.
         if self.applied(stream) + Offset(1) >= first {
@@ -67,14 +67,16 @@
     fn stream_advanced(&mut self, stream: Stream) {
         let me = self.incarnation();
         let member = match stream {
-            Stream::Config => self.config().sequence().member(me),
-            Stream::Shard(shard) => self.ledger(shard).sequence().member(me),
+            Stream::Config => self.config().sequence().writer(me),
+            Stream::Shard(shard) => self.ledger(shard).sequence().writer(me),
         };
         self.writer(stream).applied(member.seq);
         self.update_past_writers(stream);
         match stream {
             Stream::Config => self.config_changed(),
-            Stream::Shard(_) if member.gone.is_some() && !self.stopping => self.renew_incarnation(),
+            Stream::Shard(_) if member.departed_at.is_some() && !self.stopping => {
+                self.renew_incarnation()
+            }
             Stream::Shard(shard) => {
                 self.recheck_witnesses();
                 self.ledger_changed(shard);
@@ -91,7 +93,7 @@
         };
         for ((name, written_to), writer) in &mut self.past_writers {
             if *written_to == stream {
-                writer.applied(sequence.member(*name).seq);
+                writer.applied(sequence.writer(*name).seq);
             }
         }
     }
@@ -113,10 +115,10 @@
     /// Handles the log's answer to an append.
     pub(super) fn handle_append_result(&mut self, stream: Stream, taken: bool) {
         if !taken {
-            self.writer(stream).refused();
+            self.writer(stream).append_failed();
             let past = self.past_writers.iter_mut();
             for (_, writer) in past.filter(|((_, written_to), _)| *written_to == stream) {
-                writer.refused();
+                writer.append_failed();
             }
         }
     }
