--- a/src/cmd/burn.rs
+++ b/src/cmd/burn.rs
@@ -1,12 +1,13 @@
-//! `lanedeck burn`: the report on service-level burn.
+//! `lanedeck burn`: reports the burn rate of service-level objectives.
 
 use gumdrop::Options;
 
-use super::client::{Client, addresses};
+use super::client::{Client, parse_addresses};
 use super::{Error, Result, block_on, print, start_logs, usage};
 use crate::router::report::{Series, burn, page};
 
-pub const ABOUT: &str = "Asks routers for their series, merges them, and reports for each customer,
+pub const ABOUT: &str =
+    "Fetches the time series of routers, merges them, and reports for each customer,
 class and model: requests, first token and between-token p50/p95/p99, refusals by reason, and burn
 rate over 5 minutes and 1 hour against the class's objective.
 
@@ -17,34 +18,34 @@
 
 #[derive(Debug, Options)]
 pub struct Args {
-    #[options(help = "print this")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(
         no_short,
         meta = "IP:PORT",
-        help = "a router; may be given several times"
+        help = "address of a router; may be repeated"
     )]
     to: Vec<String>,
-    #[options(no_short, meta = "SECRET", help = "the operators' secret")]
+    #[options(no_short, meta = "SECRET", help = "operators' shared secret")]
     secret: String,
     #[options(
         no_short,
         meta = "FORMAT",
         default = "table",
-        help = "table, json or html"
+        help = "output format: table, json or html"
     )]
     format: String,
     #[options(
         no_short,
         meta = "FILE",
-        help = "where to write; standard output if not given"
+        help = "output file; standard output by default"
     )]
     output: Option<String>,
 }
 
 pub fn run(args: &Args) -> Result<()> {
     start_logs("warn");
-    let to = addresses("to", &args.to)?;
+    let routers = parse_addresses("to", &args.to)?;
     if !["table", "json", "html"].contains(&args.format.as_str()) {
         return usage(format!(
             "--format: {:?} given, wanted is table, json or html",
@@ -54,7 +55,7 @@
     let client = Client::new(&format!("operator:{}", args.secret));
     let series = block_on(1, async {
         let mut all: Vec<Series> = Vec::new();
-        for address in &to {
+        for address in &routers {
             let answer = client.get(*address, "/v1/burn").await?;
             let series: Vec<Series> =
                 serde_json::from_value(answer).map_err(|error| Error::Remote {
--- a/src/cmd/client.rs
+++ b/src/cmd/client.rs
@@ -1,4 +1,4 @@
-//! HTTP calls that commands make.
+//! HTTP client of the commands.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -11,19 +11,19 @@
 
 use super::{Error, Result};
 
-/// A client with a key.
+/// HTTP client that authenticates with a key.
 #[derive(Clone)]
 pub struct Client {
     inner: volo_http::client::Client,
     key: String,
 }
 
-fn remote<T>(message: String) -> Result<T> {
+fn remote_error<T>(message: String) -> Result<T> {
     Err(Error::Remote { message })
 }
 
 impl Client {
-    /// A client that shows `name:secret`.
+    /// Creates a client that sends `name:secret` as the bearer token.
     pub fn new(key: &str) -> Self {
         let mut builder = volo_http::client::Client::builder();
         builder.set_connect_timeout(Duration::from_secs(1));
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Sends a request, and gives the answer as it comes.
+    /// Sends a request and returns the response with its body still unread.
     pub async fn send(
         &self,
         method: Method,
@@ -54,12 +54,12 @@
         }
         match request.send().await {
             Ok(response) => Ok(response),
-            Err(error) => remote(format!("{to}{path}: {error}")),
+            Err(error) => remote_error(format!("{to}{path}: {error}")),
         }
     }
 
-    /// Sends a request, and takes the whole answer.
-    pub async fn whole(
+    /// Sends a request and reads the whole response body.
+    pub async fn fetch(
         &self,
         method: Method,
         to: SocketAddr,
@@ -71,11 +71,12 @@
         let (status, headers) = (response.status(), response.headers().clone());
         match response.into_body().into_bytes().await {
             Ok(body) => Ok((status, headers, body)),
-            Err(error) => remote(format!("{to}{path}: {error}")),
+            Err(error) => remote_error(format!("{to}{path}: {error}")),
         }
     }
 
-    /// Sends JSON and takes JSON; an answer that is no success is an error with its message.
+    /// Sends a JSON body, none for `null`, and parses a JSON response. Any status other than success becomes an
+    /// error with the message of the response.
     pub async fn json(
         &self,
         method: Method,
@@ -83,12 +84,12 @@
         path: &str,
         body: &Value,
     ) -> Result<Value> {
-        let sent = if body.is_null() {
+        let request_body = if body.is_null() {
             Bytes::new()
         } else {
             body.to_string().into()
         };
-        let (status, _, body) = self.whole(method, to, path, &[], sent).await?;
+        let (status, _, body) = self.fetch(method, to, path, &[], request_body).await?;
         let value: Value = serde_json::from_slice(&body).unwrap_or(Value::Null);
         if status.is_success() {
             return Ok(value);
@@ -97,39 +98,42 @@
             .as_str()
             .or(value["message"].as_str());
         let message = message.map_or_else(|| status.to_string(), str::to_owned);
-        remote(format!("{to}{path}: {message}"))
+        remote_error(format!("{to}{path}: {message}"))
     }
 
-    /// Gets JSON.
+    /// Sends a GET request and parses the JSON response.
     pub async fn get(&self, to: SocketAddr, path: &str) -> Result<Value> {
         self.json(Method::GET, to, path, &Value::Null).await
     }
 
-    /// Posts JSON.
+    /// Sends a POST request with a JSON body and parses the JSON response.
     pub async fn post(&self, to: SocketAddr, path: &str, body: &Value) -> Result<Value> {
         self.json(Method::POST, to, path, body).await
     }
 
-    /// Plans an intent and confirms it.
+    /// Plans an intent and confirms the plan.
     pub async fn apply(&self, to: SocketAddr, intent: &Value) -> Result<Value> {
         let proposal = self.post(to, "/v1/intents", intent).await?;
         self.post(to, "/v1/confirm", &proposal["plan"]).await
     }
 }
 
-/// Reads addresses as an option gives them.
-pub fn addresses(name: &str, given: &[String]) -> Result<Vec<SocketAddr>> {
-    if given.is_empty() {
-        return super::usage(format!("--{name}: give at least one IP:PORT"));
+/// Parses the addresses of an option that may be repeated.
+pub fn parse_addresses(name: &str, values: &[String]) -> Result<Vec<SocketAddr>> {
+    if values.is_empty() {
+        return super::usage(format!("--{name}: at least one IP:PORT is required"));
     }
-    given.iter().map(|text| address(name, text)).collect()
+    values
+        .iter()
+        .map(|text| parse_address(name, text))
+        .collect()
 }
 
-/// Reads an address as an option gives it.
-pub fn address(name: &str, text: &str) -> Result<SocketAddr> {
+/// Parses the address of an option.
+pub fn parse_address(name: &str, text: &str) -> Result<SocketAddr> {
     text.parse().or_else(|_| {
         super::usage(format!(
-            "--{name}: {text:?} given, wanted is an IP number and a port"
+            "--{name}: {text:?} given, wanted is an IP address and a port"
         ))
     })
 }
--- a/src/cmd/gateway.rs
+++ b/src/cmd/gateway.rs
@@ -1,4 +1,4 @@
-//! `lanedeck gateway`: a router towards callers that speak the deployment's dialect.
+//! `lanedeck gateway`: runs a router for callers that use the deployment's dialect.
 
 use std::net::SocketAddr;
 
@@ -16,13 +16,13 @@
 use crate::gateway::state::Settings;
 use crate::units::Millis;
 
-pub const ABOUT: &str = "Runs a router towards callers that speak the deployment's dialect, until
-SIGTERM, and then until all that it has begun is done or --grace is over. What lasts is kept in
-the deployment's store. SIGHUP reads and checks the settings again.
+pub const ABOUT: &str = "Runs a router for callers that use the deployment's dialect. On SIGTERM it
+stops when all requests in progress have finished or --grace has passed. Durable state is kept in
+the deployment's store. SIGHUP reads and validates the settings again.
 
-Every option can stand in the settings file of the deployment too, a line NAME=value each, by its
-name in the environment. The command line goes first, then the environment, then the file. Spans
-of time are in milliseconds, or in seconds with an s: 1500, 1500ms, 1.5s.
+Every option can also be set in the deployment's settings file, as a line NAME=value with the name
+of its environment variable. The command line takes precedence over the environment, and that over
+the file. Durations are in milliseconds, or in seconds with the suffix s: 1500, 1500ms, 1.5s.
 
 Example:
   lanedeck gateway --name a --front 10.0.0.1:8000 --ready 10.0.0.1:8001 \\
@@ -31,55 +31,55 @@
 
 #[derive(Debug, Options)]
 pub struct Args {
-    #[options(help = "print this")]
+    #[options(help = "print this help")]
     pub help: bool,
     #[options(
         no_short,
         meta = "NAME",
         default = "router",
-        help = "this host's name, which the next process on it has too: 1 to 64 letters, digits, dots, dashes, underscores"
+        help = "this host's name, the same after each restart: 1 to 64 letters, digits, dots, dashes, underscores"
     )]
     pub name: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:8000",
-        help = "where callers connect"
+        help = "listening address for callers"
     )]
     pub front: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:8001",
-        help = "where readiness is asked"
+        help = "listening address for readiness probes"
     )]
     pub ready: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:8002",
-        help = "where callers ask which addresses to use"
+        help = "listening address where callers look up the addresses to use"
     )]
     pub directory: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:8003",
-        help = "where other routers connect"
+        help = "listening address for other routers"
     )]
     pub link: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:8004",
-        help = "where counters are asked"
+        help = "listening address for metrics"
     )]
     pub metrics: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:7100",
-        help = "the deployment's store"
+        help = "address of the deployment's store"
     )]
     pub store: String,
     #[options(
@@ -93,42 +93,42 @@
         no_short,
         meta = "MS",
         default = "1200",
-        help = "between two heartbeats, in milliseconds, 50 to 60000"
+        help = "interval between heartbeats, in milliseconds, 50 to 60000"
     )]
     pub heartbeat: String,
     #[options(
         no_short,
         meta = "MS",
         default = "2000",
-        help = "how long callers may keep addresses, in milliseconds, 100 to 600000"
+        help = "how long callers may cache addresses, in milliseconds, 100 to 600000"
     )]
     pub keep: String,
     #[options(
         no_short,
         meta = "MS",
         default = "30000",
-        help = "longest time to stop, in milliseconds, 1000 to 3600000"
+        help = "longest duration of a graceful stop, in milliseconds, 1000 to 3600000"
     )]
     pub grace: String,
     #[options(
         no_short,
         meta = "X",
         default = "0.2",
-        help = "repeats for each request of the window, 0 to 10"
+        help = "retries allowed for each request within the window, 0 to 10"
     )]
     pub repeat_ratio: String,
     #[options(
         no_short,
         meta = "MS",
         default = "10000",
-        help = "window of the budget of repeats, in milliseconds, 100 to 600000"
+        help = "window of the retry budget, in milliseconds, 100 to 600000"
     )]
     pub repeat_window: String,
     #[options(
         no_short,
         meta = "N",
         default = "20",
-        help = "repeats in each window beside those, over the whole fleet, 0 to 1000000"
+        help = "retries allowed in each window in addition to the ratio, over the whole fleet, 0 to 1000000"
     )]
     pub repeat_extra: String,
     #[options(
@@ -142,21 +142,21 @@
         no_short,
         meta = "MS",
         default = "12000",
-        help = "nothing is granted ahead of a prepaid budget that lasts no longer than this at the present demand, in milliseconds, 0 to 86400000"
+        help = "no tokens are granted ahead of need from a prepaid budget that lasts no longer than this at the present demand, in milliseconds, 0 to 86400000"
     )]
     pub exact: String,
     #[options(
         no_short,
         meta = "X",
         default = "0.8",
-        help = "part of what is left beyond --exact that all routers together may hold ahead of need, 0 to 1"
+        help = "fraction of the budget left beyond --exact that all routers together may hold ahead of need, 0 to 1"
     )]
     pub share: String,
     #[options(
         no_short,
         meta = "X",
         default = "0.05",
-        help = "part of what is left beyond --exact that is spread over all routers whatever their demand, 0 to 1"
+        help = "fraction of the budget left beyond --exact that is spread over all routers regardless of their demand, 0 to 1"
     )]
     pub spread: String,
     #[options(
@@ -170,33 +170,33 @@
         no_short,
         meta = "MS",
         default = "0",
-        help = "longest age of a copy that the store may come back from without what it has acknowledged since, in milliseconds, 0 to 600000; 0 where it never does. A customer's first grants are spent from once they are this old"
+        help = "greatest age of a backup that the store may be restored from, losing later acknowledged writes, in milliseconds, 0 to 600000; 0 where it never loses any. A customer's first grants are spent only once they are this old"
     )]
     pub copy_age: String,
     #[options(
         no_short,
         meta = "N",
         default = "24",
-        help = "partitions of the store that customers are spread over, 1 to 10000; the same at all routers, and for as long as the store keeps budgets"
+        help = "partitions of the store that customers are spread over, 1 to 10000; must be the same at all routers and must not change while the store holds budgets"
     )]
     pub partitions: String,
     #[options(
         no_short,
         meta = "KEY",
         default = "lanedeck-fleet",
-        help = "what routers of this fleet show each other, 8 to 256 visible characters; give one of your own where others can reach --link"
+        help = "shared secret that routers of this fleet authenticate with, 8 to 256 visible characters; replace the default where others can reach --link"
     )]
     pub fleet_key: String,
     #[options(
         no_short,
         meta = "LEVEL",
         default = "info",
-        help = "logs: error, warn, info, debug or trace"
+        help = "log level: error, warn, info, debug or trace"
     )]
     pub log_level: String,
 }
 
-/// Settings that have been checked.
+/// Validated settings.
 struct Checked {
     settings: Settings,
     ready: SocketAddr,
@@ -211,7 +211,7 @@
     in_force: String,
 }
 
-/// Checks all settings at once.
+/// Validates all settings, so that one error reports every invalid one.
 fn check(args: &Args) -> Result<Checked> {
     let mut checker = Checker::default();
     let c = &mut checker;
@@ -223,10 +223,10 @@
     let metrics = c.address("metrics", &args.metrics);
     let store = c.address("store", &args.store);
     let hall = c.name("hall", &args.hall);
-    let heartbeat = c.span("heartbeat", &args.heartbeat, 50.0, 60_000.0);
-    let address_ttl = c.span("keep", &args.keep, 100.0, 600_000.0);
-    let grace = c.span("grace", &args.grace, 1_000.0, 3_600_000.0);
-    let retries = retries(c, args);
+    let heartbeat = c.duration("heartbeat", &args.heartbeat, 50.0, 60_000.0);
+    let address_ttl = c.duration("keep", &args.keep, 100.0, 600_000.0);
+    let grace = c.duration("grace", &args.grace, 1_000.0, 3_600_000.0);
+    let retries = retry_budget(c, args);
     let sizing = sizing(c, args);
     let partitions = c.number("partitions", &args.partitions, 1, 10_000);
     let log_level = c.log_level(&args.log_level);
@@ -235,7 +235,7 @@
     let checked = || {
         Some(Checked {
             settings: Settings {
-                me: me(name?, front?, link?, hall?),
+                me: initial_entry(name?, front?, link?, hall?),
                 heartbeat: heartbeat?,
                 retries: retries?,
                 sizing: sizing?,
@@ -257,8 +257,8 @@
     checked().ok_or_else(missing)
 }
 
-/// This router's entry, before its first heartbeat.
-fn me(name: String, front: SocketAddr, link: SocketAddr, hall: String) -> Router {
+/// This router's member entry as it is before the first heartbeat.
+fn initial_entry(name: String, front: SocketAddr, link: SocketAddr, hall: String) -> Router {
     Router {
         name,
         incarnation: rand::rng().random(),
@@ -270,9 +270,9 @@
     }
 }
 
-fn retries(c: &mut Checker, args: &Args) -> Option<Bound> {
+fn retry_budget(c: &mut Checker, args: &Args) -> Option<Bound> {
     let ratio = c.number("repeat-ratio", &args.repeat_ratio, 0.0, 10.0);
-    let window = c.span("repeat-window", &args.repeat_window, 100.0, 600_000.0);
+    let window = c.duration("repeat-window", &args.repeat_window, 100.0, 600_000.0);
     let extra = c.number("repeat-extra", &args.repeat_extra, 0.0, 1e6);
     Some(Bound {
         ratio: ratio?,
@@ -282,12 +282,12 @@
 }
 
 fn sizing(c: &mut Checker, args: &Args) -> Option<Sizing> {
-    let horizon = c.span("horizon", &args.horizon, 100.0, 86_400_000.0);
-    let exact = c.span("exact", &args.exact, 0.0, 86_400_000.0);
+    let horizon = c.duration("horizon", &args.horizon, 100.0, 86_400_000.0);
+    let exact = c.duration("exact", &args.exact, 0.0, 86_400_000.0);
     let share = c.number("share", &args.share, 0.0, 1.0);
     let spread = c.number("spread", &args.spread, 0.0, 1.0);
     let holders = c.number("holders", &args.holders, 1, 1_000);
-    let copy_age = c.span("copy-age", &args.copy_age, 0.0, 600_000.0);
+    let copy_age = c.duration("copy-age", &args.copy_age, 0.0, 600_000.0);
     Some(Sizing {
         horizon: horizon?,
         exact: exact?,
@@ -298,22 +298,22 @@
     })
 }
 
-fn read(args: &[String], adapter: &Adapter) -> Result<Checked> {
+fn reparse(args: &[String], adapter: &Adapter) -> Result<Checked> {
     match parse(args, adapter)?.command {
         Some(Command::Gateway(args)) => check(&args),
         _ => super::usage("no gateway command"),
     }
 }
 
-/// Runs a gateway by the options `given`, which SIGHUP has read again from the command line `args`.
-pub fn run(given: &Args, args: &[String], adapter: &Adapter) -> Result<()> {
-    let checked = check(given)?;
+/// Runs a gateway with the parsed options. SIGHUP parses and validates the command line `args` again.
+pub fn run(options: &Args, args: &[String], adapter: &Adapter) -> Result<()> {
+    let checked = check(options)?;
     let logs = start_output_logs(&checked.log_level);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .map_err(|source| Error::Io {
-            what: "starting threads".to_owned(),
+            what: "starting the runtime".to_owned(),
             source,
         })?;
     let args = args.to_vec();
@@ -325,7 +325,7 @@
 async fn serve(checked: Checked, args: Vec<String>, adapter: Adapter) -> Result<()> {
     let dialect = adapter.dialect.clone();
     let store = (adapter.store)(checked.store);
-    let reload = super::reload(move || read(&args, &adapter).map(|checked| checked.in_force));
+    let reload = super::reload(move || reparse(&args, &adapter).map(|checked| checked.in_force));
     let signals = super::signals(reload)?;
     let callers = bind("front", checked.settings.me.front).await?;
     let link = bind("link", checked.settings.me.link).await?;
@@ -336,7 +336,7 @@
         metrics: bind("metrics", checked.metrics).await?,
     };
     let mut settings = checked.settings;
-    // The address of the link is this process's now, so no earlier one of its name lives.
+    // The link address is bound by now, so no earlier process of the same name is still running.
     settings.started = boot_clock::Reading::now();
     let in_force = checked.in_force.replace('\n', " ");
     tracing::info!(event = "settings", in_force);
--- a/src/cmd/intent.rs
+++ b/src/cmd/intent.rs
@@ -1,4 +1,4 @@
-//! `lanedeck intent`: for operators.
+//! `lanedeck intent`: operators plan and confirm changes and inspect the fleet.
 
 use std::io::Read;
 use std::net::SocketAddr;
@@ -6,11 +6,12 @@
 use gumdrop::Options;
 use serde_json::{Value, json};
 
-use super::client::{Client, addresses};
+use super::client::{Client, parse_addresses};
 use super::{Error, Result, block_on, print, usage};
 
 pub const ABOUT: &str =
-    "Plans, confirms and looks. Nothing takes effect before its plan is confirmed.
+    "Plans and confirms changes, and shows the state of the fleet. No change takes effect before its
+plan is confirmed.
 
 Examples:
   lanedeck intent --to 10.0.0.1:7000 --secret S plan budget kiosks skargard 5000000 > plan.json
@@ -18,45 +19,49 @@
   lanedeck intent --to 10.0.0.1:7000 --secret S plan drain engine-7
   lanedeck intent --to 10.0.0.1:7000 --to 10.0.0.2:7000 --secret S status
 
-Words after the options:
-  plan budget NAME CUSTOMER TOKENS     set a budget, new or known
-  plan drain TARGET                    give a target no new work
-  plan undrain TARGET                  give it work again
-  plan priority CLASS RANK PERMILLE    change a class's place and price
-  plan release BUDGET HOLDER BILLED    state that a holder is gone for good
-  plan put FILE                        any intent as JSON ('-' is standard input)
+Arguments after the options:
+  plan budget NAME CUSTOMER TOKENS     create a budget, or change an existing one
+  plan drain TARGET                    send no new requests to a target
+  plan undrain TARGET                  send requests to it again
+  plan priority CLASS RANK PERMILLE    change a class's rank and price
+  plan release BUDGET HOLDER BILLED    declare a holder permanently lost
+  plan put FILE                        plan any intent given as JSON ('-' is standard input)
   plan delete KIND NAME                remove a customer, class, target or objective
-  confirm FILE                         put a plan in force; may be repeated
-  status                               how each router sees things
-  config                               all objects in force
-  explain ID                           why a request went as it did
+  confirm FILE                         apply a plan; safe to repeat
+  status                               show the state of each router
+  config                               show all configured objects
+  explain ID                           show the decisions on a request
 ";
 
 #[derive(Debug, Options)]
 pub struct Args {
-    #[options(help = "print this")]
+    #[options(help = "print this help")]
     help: bool,
-    #[options(no_short, meta = "IP:PORT", help = "a router; status takes several")]
+    #[options(
+        no_short,
+        meta = "IP:PORT",
+        help = "address of a router; may be repeated for status and explain"
+    )]
     to: Vec<String>,
-    #[options(no_short, meta = "SECRET", help = "the operators' secret")]
+    #[options(no_short, meta = "SECRET", help = "operators' shared secret")]
     secret: String,
-    #[options(no_short, help = "status as JSON")]
+    #[options(no_short, help = "print the status as JSON")]
     json: bool,
     #[options(free)]
     words: Vec<String>,
 }
 
 pub fn run(args: &Args) -> Result<()> {
-    let to = addresses("to", &args.to)?;
+    let routers = parse_addresses("to", &args.to)?;
     let client = Client::new(&format!("operator:{}", args.secret));
     let words: Vec<&str> = args.words.iter().map(String::as_str).collect();
     block_on(1, async {
         match words[..] {
-            ["plan", ..] => plan(&client, to[0], &words[1..]).await,
-            ["confirm", file] => confirm(&client, to[0], file).await,
-            ["status"] => status(&client, &to, args.json).await,
-            ["config"] => show(&client.get(to[0], "/v1/config").await?),
-            ["explain", id] => explain(&client, &to, id).await,
+            ["plan", ..] => plan(&client, routers[0], &words[1..]).await,
+            ["confirm", file] => confirm(&client, routers[0], file).await,
+            ["status"] => status(&client, &routers, args.json).await,
+            ["config"] => print_json(&client.get(routers[0], "/v1/config").await?),
+            ["explain", id] => explain(&client, &routers, id).await,
             _ => usage(
                 "wanted is plan, confirm, status, config or explain; see lanedeck intent --help",
             ),
@@ -64,33 +69,36 @@
     })
 }
 
-fn number(what: &str, text: &str) -> Result<u64> {
+fn parse_number(what: &str, text: &str) -> Result<u64> {
     text.parse().or_else(|_| {
         usage(format!(
-            "{what}: {text:?} given, wanted is a whole number, 0 or more"
+            "{what}: {text:?} given, wanted is a non-negative integer"
         ))
     })
 }
 
-fn stated(words: &[&str]) -> Result<Value> {
+fn parse_intent(words: &[&str]) -> Result<Value> {
     Ok(match *words {
         ["budget", name, customer, tokens] => {
-            let prepaid = number("TOKENS", tokens)?;
+            let prepaid = parse_number("TOKENS", tokens)?;
             json!({"budget": {"name": name, "customer": customer, "prepaid": prepaid}})
         }
         ["drain", target] => json!({"drain": {"target": target, "draining": true}}),
         ["undrain", target] => json!({"drain": {"target": target, "draining": false}}),
         ["priority", class, rank, price] => {
-            let (rank, price) = (number("RANK", rank)?, number("PERMILLE", price)?);
+            let (rank, price) = (
+                parse_number("RANK", rank)?,
+                parse_number("PERMILLE", price)?,
+            );
             json!({"priority": {"class": class, "rank": rank, "price_permille": price}})
         }
         ["release", budget, holder, billed] => {
-            let billed = number("BILLED", billed)?;
+            let billed = parse_number("BILLED", billed)?;
             json!({"release": {"budget": budget, "holder": holder, "billed": billed}})
         }
         ["put", file] => read_json(file)?,
         ["delete", kind, name] => json!({"delete": {"key": {kind: name}}}),
-        _ => return usage("plan: see lanedeck intent --help for what can be planned"),
+        _ => return usage("plan: unknown intent; see lanedeck intent --help"),
     })
 }
 
@@ -108,18 +116,18 @@
     serde_json::from_str(&text).or_else(|error| usage(format!("{file}: {error}")))
 }
 
-fn show(value: &Value) -> Result<()> {
+fn print_json(value: &Value) -> Result<()> {
     let text = serde_json::to_string_pretty(value).unwrap_or_default();
     print(&format!("{text}\n"))
 }
 
 async fn plan(client: &Client, to: SocketAddr, words: &[&str]) -> Result<()> {
-    let intent = stated(words)?;
+    let intent = parse_intent(words)?;
     let proposal = client.post(to, "/v1/intents", &intent).await?;
     for note in proposal["notes"].as_array().into_iter().flatten() {
         eprintln!("{}", note.as_str().unwrap_or_default());
     }
-    show(&proposal["plan"])
+    print_json(&proposal["plan"])
 }
 
 async fn confirm(client: &Client, to: SocketAddr, file: &str) -> Result<()> {
@@ -129,27 +137,28 @@
     print(&format!("{message}\n"))
 }
 
-/// Each router's own view; configuration is in force everywhere when all have applied it.
-async fn status(client: &Client, to: &[SocketAddr], as_json: bool) -> Result<()> {
-    let mut seen = Vec::new();
-    for address in to {
-        seen.push((*address, client.get(*address, "/v1/status").await));
+/// Prints the state that each router reports, and how many routers have applied the newest configuration offset
+/// among them. A change is in force everywhere once all have applied it.
+async fn status(client: &Client, routers: &[SocketAddr], as_json: bool) -> Result<()> {
+    let mut statuses = Vec::new();
+    for address in routers {
+        statuses.push((*address, client.get(*address, "/v1/status").await));
     }
     if as_json {
-        let all: Vec<&Value> = seen
+        let all: Vec<&Value> = statuses
             .iter()
             .filter_map(|(_, status)| status.as_ref().ok())
             .collect();
-        return show(&json!(all));
+        return print_json(&json!(all));
     }
     let applied = |status: &Value| status["applied"][0][1].as_u64().unwrap_or_default();
-    let newest = seen
+    let newest = statuses
         .iter()
         .filter_map(|(_, status)| status.as_ref().ok())
         .map(applied)
         .max();
     let newest = newest.unwrap_or_default();
-    let up_to_date = seen
+    let up_to_date = statuses
         .iter()
         .filter(|(_, status)| {
             status
@@ -159,18 +168,18 @@
         .count();
     print(&format!(
         "configuration offset {newest}: in force on {up_to_date} of {}\n",
-        to.len()
+        routers.len()
     ))?;
-    for (address, status) in &seen {
-        print(&line(*address, status))?;
+    for (address, status) in &statuses {
+        print(&status_line(*address, status))?;
     }
-    match seen.iter().find_map(|(_, status)| status.as_ref().ok()) {
-        Some(status) => print(&budgets(status)),
+    match statuses.iter().find_map(|(_, status)| status.as_ref().ok()) {
+        Some(status) => print(&budget_table(status)),
         None => super::failed("no router answered"),
     }
 }
 
-fn line(address: SocketAddr, status: &Result<Value>) -> String {
+fn status_line(address: SocketAddr, status: &Result<Value>) -> String {
     match status {
         Ok(status) => format!(
             "{address} hall={} ready={} stopping={} log_up={} witness={} wards={} jobs={} \
@@ -190,7 +199,7 @@
     }
 }
 
-fn budgets(status: &Value) -> String {
+fn budget_table(status: &Value) -> String {
     let mut text = format!(
         "{:<20} {:<16} {:>12} {:>12} {:>12} {:>12} {:>10}\n",
         "budget", "customer", "prepaid", "unallotted", "held", "billed", "in doubt"
@@ -210,20 +219,20 @@
     text
 }
 
-async fn explain(client: &Client, to: &[SocketAddr], id: &str) -> Result<()> {
-    let mut last = usage("no router");
-    for address in to {
+async fn explain(client: &Client, routers: &[SocketAddr], id: &str) -> Result<()> {
+    let mut result = usage("no router");
+    for address in routers {
         match client.get(*address, &format!("/v1/explain/{id}")).await {
             Ok(steps) => {
                 for step in steps.as_array().into_iter().flatten() {
                     let what = step["what"].as_str().unwrap_or_default();
                     print(&format!("{address} +{} ms: {what}\n", step["after_ms"]))?;
                 }
-                last = Ok(());
+                result = Ok(());
             }
-            Err(error) if last.is_err() => last = Err(error),
+            Err(error) if result.is_err() => result = Err(error),
             Err(_) => {}
         }
     }
-    last
+    result
 }
--- a/src/cmd/load/caller.rs
+++ b/src/cmd/load/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that keeps its id over all tries of a request.
+//! A caller that uses the same id for all attempts of a request.
 
 use std::net::SocketAddr;
 use std::sync::{Mutex, PoisonError};
@@ -20,10 +20,10 @@
 use crate::standin::engine::word;
 use crate::standin::service::{Receipt, receipt};
 
-/// Longest wait for one try.
-const TRY_WAIT: Duration = Duration::from_secs(60);
+/// Timeout of one attempt.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What all requests of a run have in common.
+/// Settings shared by all requests of a run.
 pub struct Settings {
     pub model: String,
     pub service: Option<String>,
@@ -32,14 +32,14 @@
     pub wait_max: Duration,
 }
 
-/// One request.
+/// A request to send.
 pub struct Job {
     pub number: u32,
     pub service: bool,
     pub text: String,
 }
 
-/// What became of one request.
+/// The outcome of one request; `--output` writes its fields as JSON.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Record {
     pub id: String,
@@ -50,12 +50,12 @@
     pub tries: u32,
     pub first_ms: f64,
     pub total_ms: f64,
-    /// An answer that was said to be whole was not, or was another's.
+    /// The response was reported complete but was not, or belongs to another request.
     pub wrong: bool,
 }
 
-/// How one try ended.
-enum Try {
+/// The outcome of one attempt.
+enum Outcome {
     Ran {
         billed: u64,
         first: Duration,
@@ -71,47 +71,47 @@
     Lost,
 }
 
-/// The caller.
+/// A caller with its cached entry addresses.
 pub struct Caller {
     client: Client,
     entries: Vec<SocketAddr>,
     settings: Settings,
-    known: Mutex<(Entry, Instant)>,
+    cached: Mutex<(Entry, Instant)>,
 }
 
 impl Caller {
-    /// A caller that has asked for its first entry answer.
+    /// Creates a caller and fetches its first entry addresses.
     pub async fn new(client: Client, entries: Vec<SocketAddr>, settings: Settings) -> Result<Self> {
-        let entry = ask(&client, &entries).await?;
+        let entry = fetch_entry(&client, &entries).await?;
         Ok(Self {
             client,
             entries,
             settings,
-            known: Mutex::new((entry, Instant::now())),
+            cached: Mutex::new((entry, Instant::now())),
         })
     }
 
-    fn known(&self) -> (Entry, Instant) {
-        self.known
+    fn cached_entry(&self) -> (Entry, Instant) {
+        self.cached
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
     }
 
     async fn refresh(&self) {
-        if let Ok(entry) = ask(&self.client, &self.entries).await {
-            let mut known = self.known.lock().unwrap_or_else(PoisonError::into_inner);
-            *known = (entry, Instant::now());
+        if let Ok(entry) = fetch_entry(&self.client, &self.entries).await {
+            let mut cached = self.cached.lock().unwrap_or_else(PoisonError::into_inner);
+            *cached = (entry, Instant::now());
         }
     }
 
-    /// Serves one request to its end: the same id for all its tries.
+    /// Sends a request until its verdict is final or its attempts are used up, with the same id in all attempts.
     pub async fn serve(&self, job: Job) -> Record {
-        let (entry, since) = self.known();
-        if since.elapsed() > Duration::from_millis(entry.keep_ms) || entry.addresses.is_empty() {
+        let (entry, fetched) = self.cached_entry();
+        if fetched.elapsed() > Duration::from_millis(entry.keep_ms) || entry.addresses.is_empty() {
             self.refresh().await;
         }
-        let entry = self.known().0;
+        let entry = self.cached_entry().0;
         let mut record = Record {
             service: job.service,
             ..Record::default()
@@ -124,19 +124,21 @@
             return record;
         };
         record.id = format!("{}{:08x}", home.prefix, job.number);
-        self.tries(&job, &entry, home.address, &mut record).await;
+        self.attempt_all(&job, &entry, home.address, &mut record)
+            .await;
         record
     }
 
-    async fn tries(&self, job: &Job, entry: &Entry, home: SocketAddr, record: &mut Record) {
+    async fn attempt_all(&self, job: &Job, entry: &Entry, home: SocketAddr, record: &mut Record) {
         let mut to = home;
-        let mut turn = 0;
+        let mut index = 0;
         while record.tries < self.settings.tries {
             record.tries += 1;
             let start = Instant::now();
-            let one = tokio::time::timeout(TRY_WAIT, self.once(job, to, &record.id)).await;
-            let wait = match one.unwrap_or(Try::Lost) {
-                Try::Ran {
+            let outcome =
+                tokio::time::timeout(ATTEMPT_TIMEOUT, self.send_once(job, to, &record.id)).await;
+            let wait = match outcome.unwrap_or(Outcome::Lost) {
+                Outcome::Ran {
                     billed,
                     first,
                     whole,
@@ -148,34 +150,35 @@
                     record.wrong = !whole;
                     return;
                 }
-                Try::NotRun {
+                Outcome::NotRun {
                     reason,
                     retry_after,
                 } => {
                     record.verdict = "not_run".to_owned();
-                    let final_word = reason == "budget_exhausted";
+                    let is_final = reason == "budget_exhausted";
                     record.reason = reason;
-                    if final_word {
+                    if is_final {
                         return;
                     }
                     retry_after
                 }
-                Try::MayHaveRun { reason } => {
+                Outcome::MayHaveRun { reason } => {
                     record.verdict = "may_have_run".to_owned();
                     record.reason = reason;
                     Duration::from_secs(1)
                 }
-                Try::Lost => {
+                Outcome::Lost => {
                     record.verdict = "lost".to_owned();
                     Duration::from_millis(200)
                 }
             };
             tokio::time::sleep(wait.min(self.settings.wait_max)).await;
-            // Home first and last; others in between, which can take over if home is gone.
-            turn += 1;
+            // The first attempt goes to the home router. Retries go through all addresses in turn, since another
+            // router can take over if the home router has failed.
+            index += 1;
             let others = &entry.addresses;
             to = others
-                .get(turn % others.len().max(1))
+                .get(index % others.len().max(1))
                 .map_or(home, |other| other.address);
         }
         self.refresh().await;
@@ -192,7 +195,7 @@
         .into()
     }
 
-    async fn once(&self, job: &Job, to: SocketAddr, id: &str) -> Try {
+    async fn send_once(&self, job: &Job, to: SocketAddr, id: &str) -> Outcome {
         let mut headers = vec![(REQUEST_ID, id)];
         match (&self.settings.service, job.service) {
             (Some(service), true) => {
@@ -209,19 +212,19 @@
         to: SocketAddr,
         service: &str,
         headers: &[(&str, &str)],
-    ) -> Try {
+    ) -> Outcome {
         let start = Instant::now();
         let body = Bytes::from(job.text.clone());
         let path = format!("/v1/services/{service}");
         let answer = self
             .client
-            .whole(Method::POST, to, &path, headers, body.clone())
+            .fetch(Method::POST, to, &path, headers, body.clone())
             .await;
         let Ok((status, answer_headers, answer)) = answer else {
-            return Try::Lost;
+            return Outcome::Lost;
         };
         if status != StatusCode::OK {
-            return refused(&answer_headers);
+            return parse_refusal(&answer_headers);
         }
         let expected = Receipt {
             request_id: headers[0].1.to_owned(),
@@ -231,7 +234,7 @@
         let billed = answer_headers
             .get(BILLED)
             .and_then(|value| value.to_str().ok());
-        Try::Ran {
+        Outcome::Ran {
             billed: billed
                 .and_then(|text| text.parse().ok())
                 .unwrap_or_default(),
@@ -240,7 +243,7 @@
         }
     }
 
-    async fn call_model(&self, job: &Job, to: SocketAddr, headers: &[(&str, &str)]) -> Try {
+    async fn call_model(&self, job: &Job, to: SocketAddr, headers: &[(&str, &str)]) -> Outcome {
         let path = "/v1/chat/completions";
         let body = self.body(job);
         let start = Instant::now();
@@ -249,48 +252,54 @@
             .send(Method::POST, to, path, headers, body.clone())
             .await;
         let Ok(response) = sent else {
-            return Try::Lost;
+            return Outcome::Lost;
         };
         if response.status() != StatusCode::OK {
             let headers = response.headers().clone();
             let _ = response.into_body().into_bytes().await;
-            return refused(&headers);
+            return parse_refusal(&headers);
         }
-        self.read(response, start, &body, headers[0].1).await
+        self.read_stream(response, start, &body, headers[0].1).await
     }
 
-    /// Reads a streamed answer; it is whole if every frame is its own, in order, and says what
-    /// the engine must say.
-    async fn read(&self, response: Response, start: Instant, body: &[u8], id: &str) -> Try {
+    /// Reads a streamed response. It is whole if every frame belongs to this request, the frames are in order, and
+    /// each has the text that the engine must send.
+    async fn read_stream(
+        &self,
+        response: Response,
+        start: Instant,
+        body: &[u8],
+        id: &str,
+    ) -> Outcome {
         let Ok(call) = chat::parse(body) else {
-            return Try::Lost;
+            return Outcome::Lost;
         };
         let prompt = call.prompt();
         let Ok(mut reader) = response.into_sse() else {
-            return Try::Lost;
+            return Outcome::Lost;
         };
         let (mut next, mut whole) = (0, true);
         let mut first = None;
         loop {
             let Ok(Some(event)) = reader.read().await else {
-                return Try::Lost;
+                return Outcome::Lost;
             };
             let Ok(value) = serde_json::from_str::<Value>(event.data().unwrap_or_default()) else {
-                return Try::Lost;
+                return Outcome::Lost;
             };
             first.get_or_insert_with(|| start.elapsed());
-            let told = &value["lanedeck"];
-            if told["verdict"] == "may_have_run" {
-                let reason = told["reason"].as_str().unwrap_or_default().to_owned();
-                return Try::MayHaveRun { reason };
+            let metadata = &value["lanedeck"];
+            if metadata["verdict"] == "may_have_run" {
+                let reason = metadata["reason"].as_str().unwrap_or_default().to_owned();
+                return Outcome::MayHaveRun { reason };
             }
             let Ok(frame) = serde_json::from_value::<Frame>(value.clone()) else {
-                return Try::Lost;
+                return Outcome::Lost;
             };
             whole &= frame.id == id && frame.index == next;
             if frame.usage.is_some() {
-                return Try::Ran {
-                    billed: told["billed"].as_u64().unwrap_or_default(),
+                return Outcome::Ran {
+                    billed: metadata["billed"].as_u64().unwrap_or_default(),
                     first: first.unwrap_or_default(),
                     whole: whole && next == call.max_tokens,
                 };
@@ -301,7 +310,7 @@
     }
 }
 
-fn refused(headers: &http::HeaderMap) -> Try {
+fn parse_refusal(headers: &http::HeaderMap) -> Outcome {
     let text = |name: &str| {
         let value = headers.get(name).and_then(|value| value.to_str().ok());
         value.unwrap_or_default().to_owned()
@@ -311,26 +320,26 @@
         .parse()
         .unwrap_or(1);
     match text(VERDICT).as_str() {
-        "not_run" => Try::NotRun {
+        "not_run" => Outcome::NotRun {
             reason,
             retry_after: Duration::from_secs(seconds),
         },
-        "may_have_run" => Try::MayHaveRun { reason },
-        _ => Try::Lost,
+        "may_have_run" => Outcome::MayHaveRun { reason },
+        _ => Outcome::Lost,
     }
 }
 
-async fn ask(client: &Client, entries: &[SocketAddr]) -> Result<Entry> {
-    let mut last = super::usage("--entry: no address");
+async fn fetch_entry(client: &Client, entries: &[SocketAddr]) -> Result<Entry> {
+    let mut result = super::usage("--entry: no address");
     for address in entries {
         match client.get(*address, "/v1/entry").await {
             Ok(value) => match serde_json::from_value::<Entry>(value) {
                 Ok(entry) if !entry.addresses.is_empty() => return Ok(entry),
-                Ok(_) => last = super::super::failed("an entry answer without addresses"),
-                Err(error) => last = super::super::failed(error.to_string()),
+                Ok(_) => result = super::super::failed("the entry response has no addresses"),
+                Err(error) => result = super::super::failed(error.to_string()),
             },
-            Err(error) => last = Err(error),
+            Err(error) => result = Err(error),
         }
     }
-    last
+    result
 }
--- a/src/cmd/load/tally.rs
+++ b/src/cmd/load/tally.rs
@@ -1,4 +1,4 @@
-//! Sums over all requests of a run.
+//! Totals and latencies over all requests of a run.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -6,7 +6,7 @@
 
 use super::caller::Record;
 
-/// All records of a run.
+/// The records of a run.
 #[derive(Default)]
 pub struct Tally {
     records: Vec<Record>,
@@ -18,13 +18,13 @@
         self.records.push(record);
     }
 
-    /// Answers that were said to be whole and were not, or were another's.
+    /// Counts the responses that were reported complete but were not, or that belong to another request.
     pub fn wrong(&self) -> usize {
         self.records.iter().filter(|record| record.wrong).count()
     }
 
-    /// A JSON line for each request.
-    pub fn lines(&self) -> String {
+    /// One JSON line per request.
+    pub fn json_lines(&self) -> String {
         let lines = self
             .records
             .iter()
@@ -32,7 +32,7 @@
         lines.collect()
     }
 
-    /// The report, as lines of key=value pairs.
+    /// Formats the report as lines of key=value pairs.
     pub fn report(&self) -> String {
         let count = self.records.len();
         let seconds = self.elapsed.as_secs_f64().max(0.001);
@@ -68,24 +68,24 @@
                 .iter()
                 .filter(|record| record.verdict == "ran" && !record.service)
         };
-        latency(&mut text, "first", ran().map(|record| record.first_ms));
-        latency(&mut text, "total", ran().map(|record| record.total_ms));
+        write_latency(&mut text, "first", ran().map(|record| record.first_ms));
+        write_latency(&mut text, "total", ran().map(|record| record.total_ms));
         text
     }
 }
 
-fn latency(text: &mut String, name: &str, values: impl Iterator<Item = f64>) {
+fn write_latency(text: &mut String, name: &str, values: impl Iterator<Item = f64>) {
     let mut values: Vec<f64> = values.collect();
     if values.is_empty() {
         return;
     }
     values.sort_by(f64::total_cmp);
-    let at = |share: f64| values[((values.len() - 1) as f64 * share).round() as usize];
+    let quantile = |q: f64| values[((values.len() - 1) as f64 * q).round() as usize];
     let _ = writeln!(
         text,
         "latency={name} p50={:.2} p95={:.2} p99={:.2} unit=ms",
-        at(0.50),
-        at(0.95),
-        at(0.99)
+        quantile(0.50),
+        quantile(0.95),
+        quantile(0.99)
     );
 }
--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -1,4 +1,4 @@
-//! The commands: one file each, with its options and one `run`.
+//! Subcommands of the binary. Each module defines the options of one command and its `run` function.
 
 mod burn;
 mod check;
@@ -26,50 +26,50 @@
 const ABOUT: &str = "lanedeck: a router fleet for prepaid token budgets
 
 Examples:
-  lanedeck demo --once            serve on loopback, show each promise, exit
-  lanedeck router --help          the settings of a router
-  lanedeck intent --help          how operators plan and confirm
+  lanedeck demo --once            serve one request of each kind on loopback, exit
+  lanedeck router --help          print the settings of a router
+  lanedeck intent --help          print how operators plan and confirm changes
 
-Every option that takes a value can be given in the environment as well:
---append-gap is LANEDECK_APPEND_GAP. The command line goes first.
+Every option that takes a value can also be set in the environment: --append-gap
+is LANEDECK_APPEND_GAP. The command line takes precedence.
 ";
 
 /// Why a command failed.
 #[derive(Debug, Snafu)]
 pub enum Error {
-    /// The command line or a setting is wrong.
+    /// The command line or a setting is invalid.
     #[snafu(display("{message}"))]
     Usage {
-        /// All that is wrong.
+        /// Describes everything that is invalid.
         message: String,
     },
-    /// The system refused something.
+    /// An operation of the system failed.
     #[snafu(display("{what}: {source}"))]
     Io {
-        /// What was tried.
+        /// The operation, file or option that failed.
         what: String,
         /// The system's error.
         source: io::Error,
     },
-    /// Another process did not answer, or refused.
+    /// Another process did not respond, or refused the request.
     #[snafu(display("{message}"))]
     Remote {
-        /// What it said.
+        /// The message of its response, or the error of the call.
         message: String,
     },
-    /// Something that the command checks does not hold.
+    /// A check that the command makes did not pass.
     #[snafu(display("{message}"))]
     Failed {
-        /// What does not hold.
+        /// Describes the check that failed.
         message: String,
     },
-    /// Whoever reads our output has gone.
+    /// The reader of standard output has closed it.
     #[snafu(display("output closed"))]
     Closed,
 }
 
 impl Error {
-    /// The process's exit status.
+    /// Exit status of the process for this error.
     pub fn code(&self) -> u8 {
         match self {
             Self::Usage { .. } => 2,
@@ -78,18 +78,18 @@
     }
 }
 
-/// What the binary is built with for the deployment that it runs on.
+/// The parts of the binary that are specific to the deployment it runs on.
 #[derive(Clone)]
 pub struct Adapter {
-    /// What callers and targets speak there.
+    /// The protocol dialect of its callers and targets.
     pub dialect: Arc<dyn Dialect>,
-    /// Makes a client of the store at an address.
+    /// Creates a client for the store at an address.
     pub store: fn(SocketAddr) -> Arc<dyn Store>,
-    /// The deployment's settings file, where there is one.
+    /// Path of the deployment's settings file, if it has one.
     pub settings: Option<String>,
 }
 
-/// A command's result.
+/// The result of a command.
 pub type Result<T> = std::result::Result<T, Error>;
 
 pub(crate) fn usage<T>(message: impl Into<String>) -> Result<T> {
@@ -102,7 +102,7 @@
     Err(Error::Failed { message })
 }
 
-/// What a process does at SIGHUP; `read` reads and checks its settings and gives those in force.
+/// Creates the SIGHUP handler. `read` parses and validates the settings and returns the effective ones as text.
 pub(crate) fn reload(read: impl Fn() -> Result<String> + Send + Sync + 'static) -> Reload {
     Arc::new(move || match read() {
         Ok(in_force) => Ok(in_force.replace('\n', " ")),
@@ -110,21 +110,21 @@
     })
 }
 
-/// Takes the signals of a serving process; `reload` is what SIGHUP does.
+/// Installs the signal handlers of a serving process; `reload` handles SIGHUP.
 pub(crate) fn signals(reload: Reload) -> Result<Signals> {
     Signals::new(reload).map_err(signals_failed)
 }
 
 fn signals_failed(source: io::Error) -> Error {
     Error::Io {
-        what: "signals".to_owned(),
+        what: "installing signal handlers".to_owned(),
         source,
     }
 }
 
 #[derive(Debug, Options)]
 struct Args {
-    #[options(help = "print this")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(help = "print the version")]
     version: bool,
@@ -136,26 +136,26 @@
 enum Command {
     #[options(help = "run a router on an entry host")]
     Router(router::Args),
-    #[options(help = "run a router towards callers that speak the deployment's dialect")]
+    #[options(help = "run a router for callers that use the deployment's dialect")]
     Gateway(gateway::Args),
-    #[options(help = "plan, confirm and look, for operators")]
+    #[options(help = "plan and confirm changes and show the state, for operators")]
     Intent(intent::Args),
-    #[options(help = "report service-level burn")]
+    #[options(help = "report the burn rate of service-level objectives")]
     Burn(burn::Args),
-    #[options(help = "check a router's settings and print what would be in force")]
+    #[options(help = "validate a router's settings and print the effective ones")]
     Check(router::Args),
-    #[options(help = "drive callers' traffic and print rates, verdicts and latencies")]
+    #[options(help = "generate callers' traffic and print rates, verdicts and latencies")]
     Load(load::Args),
     #[options(help = "run a stand-in: log, hosts, engine or service")]
     Standin(standin::Args),
-    #[options(help = "run everything on loopback in one process")]
+    #[options(help = "run a complete fleet on loopback in one process")]
     Demo(demo::Args),
 }
 
 /// Parses the command line and runs its command.
 ///
 /// # Errors
-/// What is wrong with the command line, or why the command failed.
+/// A usage error for an invalid command line or setting, or the error of the command.
 pub fn run(args: &[String], adapter: &Adapter) -> Result<()> {
     let name = args.first().map_or("", String::as_str);
     if matches!(name, "router" | "gateway") {
@@ -169,8 +169,8 @@
         return print(&help(&parsed, name));
     }
     match parsed.command {
-        Some(Command::Router(given)) => router::run(&given, args, adapter),
-        Some(Command::Gateway(given)) => gateway::run(&given, args, adapter),
+        Some(Command::Router(options)) => router::run(&options, args, adapter),
+        Some(Command::Gateway(options)) => gateway::run(&options, args, adapter),
         Some(Command::Check(args)) => check::run(&args),
         Some(Command::Intent(args)) => intent::run(&args),
         Some(Command::Burn(args)) => burn::run(&args),
@@ -181,7 +181,7 @@
     }
 }
 
-/// Parses a command line, with what the environment and the settings file give besides.
+/// Parses a command line, completed by the environment and the settings file.
 fn parse(args: &[String], adapter: &Adapter) -> Result<Args> {
     let name = args.first().map_or("", String::as_str);
     let args = match Command::command_usage(name) {
@@ -222,7 +222,7 @@
     format!("Commands:\n{}", Command::usage())
 }
 
-/// Prints to standard output; a reader that has gone is no fault.
+/// Prints to standard output. A closed pipe is reported as [`Error::Closed`], which does not fail the process.
 pub(crate) fn print(text: &str) -> Result<()> {
     use std::io::Write;
     let mut out = io::stdout().lock();
@@ -236,7 +236,7 @@
     }
 }
 
-/// Runs a command's work on a runtime with this many threads.
+/// Runs a command's future on a runtime with this many worker threads.
 pub(crate) fn block_on<T>(threads: usize, work: impl Future<Output = Result<T>>) -> Result<T> {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(threads)
@@ -245,30 +245,31 @@
     match runtime {
         Ok(runtime) => runtime.block_on(work),
         Err(source) => Err(Error::Io {
-            what: "starting threads".to_owned(),
+            what: "starting the runtime".to_owned(),
             source,
         }),
     }
 }
 
-/// Log lines that wait to be written; more are dropped and counted.
+/// Most log lines that wait to be written; any more are dropped and counted.
 const LOG_LINES_MAX: usize = 8_192;
 
-/// Bytes of log lines that are written at once: what waits when the writer has its turn is one call of the system.
-const LOG_BUFFER: usize = 32 << 10;
+/// Size of the write buffer for log lines, in bytes: the lines that wait when the writer runs go out in one system
+/// call.
+const LOG_BUFFER_BYTES: usize = 32 << 10;
 
-static DROPPED: std::sync::OnceLock<tracing_appender::non_blocking::ErrorCounter> =
+static DROPPED_LINES: std::sync::OnceLock<tracing_appender::non_blocking::ErrorCounter> =
     std::sync::OnceLock::new();
 
-/// Log lines that were dropped since the reader is too slow.
+/// Number of log lines dropped because the reader of standard output was too slow.
 pub(crate) fn dropped_lines() -> u64 {
-    DROPPED
+    DROPPED_LINES
         .get()
         .map_or(0, |counter| counter.dropped_lines() as u64)
 }
 
-/// Logs to standard output, a line of key=value pairs an event, without ever waiting for its
-/// reader. What is returned writes the last lines when dropped.
+/// Logs to standard output, one line of key=value pairs per event, and never blocks on its reader. The returned guard
+/// writes the remaining lines when dropped.
 pub(crate) fn start_output_logs(level: &str) -> tracing_appender::non_blocking::WorkerGuard {
     use tracing_subscriber::EnvFilter;
     use tracing_subscriber::layer::SubscriberExt;
@@ -276,8 +277,8 @@
     let (writer, guard) = tracing_appender::non_blocking::NonBlockingBuilder::default()
         .lossy(true)
         .buffered_lines_limit(LOG_LINES_MAX)
-        .finish(io::BufWriter::with_capacity(LOG_BUFFER, io::stdout()));
-    let _ = DROPPED.set(writer.error_counter());
+        .finish(io::BufWriter::with_capacity(LOG_BUFFER_BYTES, io::stdout()));
+    let _ = DROPPED_LINES.set(writer.error_counter());
     let filter = EnvFilter::new(format!("warn,lanedeck={level}"));
     let layer = tracing_logfmt::builder()
         .with_target(false)
@@ -291,14 +292,14 @@
     guard
 }
 
-/// Logs to standard error, a line of key=value pairs an event.
+/// Logs to standard error, one line of key=value pairs per event.
 pub(crate) fn start_logs(level: &str) {
     use tracing_subscriber::EnvFilter;
     use tracing_subscriber::layer::SubscriberExt;
     use tracing_subscriber::util::SubscriberInitExt;
     let filter = EnvFilter::new(format!("warn,lanedeck={level}"));
     let layer = tracing_logfmt::builder().layer().with_writer(io::stderr);
-    // Only the first start in a process counts.
+    // Later calls in the same process have no effect.
     let _ = tracing_subscriber::registry()
         .with(filter)
         .with(layer)
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -1,4 +1,4 @@
-//! `lanedeck router`: the process on an entry host.
+//! `lanedeck router`: runs a router on an entry host.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,32 +19,32 @@
 use crate::signals::Signals;
 use crate::units::{Millis, Offset};
 
-pub const ABOUT: &str = "Runs a router on an entry host until SIGTERM, and then until all that it
-has begun is done. SIGHUP reads and checks the settings again.
+pub const ABOUT: &str = "Runs a router on an entry host. On SIGTERM it stops when all requests in
+progress have finished. SIGHUP reads and validates the settings again.
 
 Examples:
   lanedeck router --entry 10.0.0.1:7000 --peer 10.0.0.1:7001 --hall nacka \\
       --region stockholm --log 10.0.9.1:7100 --hosts 10.0.9.2:7200 \\
       --operator-hash $(printf %s SECRET | sha256sum | cut -c1-64) --fleet-key KEY
-  LANEDECK_HALL=solna lanedeck check ...   checks all settings and starts nothing
+  LANEDECK_HALL=solna lanedeck check ...   validates all settings and starts no router
 ";
 
 #[derive(Debug, Options)]
 pub struct Args {
-    #[options(help = "print this")]
+    #[options(help = "print this help")]
     pub help: bool,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:7000",
-        help = "where callers and operators connect"
+        help = "listening address for callers and operators"
     )]
     pub entry: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:7001",
-        help = "where other routers connect"
+        help = "listening address for other routers"
     )]
     pub peer: String,
     #[options(
@@ -58,21 +58,21 @@
         no_short,
         meta = "NAME",
         default = "region",
-        help = "this host's region, likewise"
+        help = "this host's region, with the same characters as --hall"
     )]
     pub region: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:7100",
-        help = "the platform's log"
+        help = "address of the platform's log"
     )]
     pub log: String,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:7200",
-        help = "the platform's host list"
+        help = "address of the platform's host list"
     )]
     pub hosts: String,
     #[options(
@@ -84,14 +84,14 @@
     #[options(
         no_short,
         meta = "KEY",
-        help = "what routers of this fleet show each other, 8 to 256 visible characters"
+        help = "shared secret that routers of this fleet authenticate with, 8 to 256 visible characters"
     )]
     pub fleet_key: String,
     #[options(
         no_short,
         meta = "POLICY",
         default = "two",
-        help = "choice of targets: two; least, prefix and expected are taken and do as two"
+        help = "target selection policy: two; least, prefix and expected are accepted and act as two"
     )]
     pub policy: String,
     #[options(
@@ -105,7 +105,7 @@
         no_short,
         meta = "MS",
         default = "100",
-        help = "least time between two appends to a stream, in milliseconds, 1 to 60000"
+        help = "minimum interval between appends to a stream, in milliseconds, 1 to 60000"
     )]
     pub append_gap: String,
     #[options(
@@ -126,7 +126,7 @@
         no_short,
         meta = "N",
         default = "512",
-        help = "requests that wait for one model or service, 1 to 65536"
+        help = "most requests that wait for one model or service, 1 to 65536"
     )]
     pub queue: String,
     #[options(
@@ -147,31 +147,32 @@
         no_short,
         meta = "MS",
         default = "120000",
-        help = "longest silence of a target within an answer, in milliseconds, 100 to 3600000"
+        help = "longest silence of a target within a response, in milliseconds, 100 to 3600000"
     )]
     pub silence: String,
     #[options(
         no_short,
         meta = "N",
         default = "2",
-        help = "threads for traffic, 1 to 64; the control state has one of its own"
+        help = "threads for traffic, 1 to 64; the control state has a dedicated thread"
     )]
     pub threads: String,
     #[options(
         no_short,
         meta = "LEVEL",
         default = "info",
-        help = "logs: error, warn, info, debug or trace"
+        help = "log level: error, warn, info, debug or trace"
     )]
     pub log_level: String,
 }
 
-/// The one choice of targets that there is.
+/// The only target selection policy.
 const POLICY: &str = "two";
-/// What `--policy` takes: the others were removed, and settings that name them still start.
+/// Accepted values of `--policy`. The other policies were removed; settings that name one are accepted and run with
+/// [`POLICY`].
 const POLICIES: [&str; 4] = [POLICY, "least", "prefix", "expected"];
 
-/// Settings that have been checked.
+/// Validated settings.
 pub struct Checked {
     pub settings: Settings,
     pub log: SocketAddr,
@@ -186,7 +187,7 @@
     pub in_force: String,
 }
 
-/// Checks all settings at once.
+/// Validates all settings, so that one error reports every invalid one.
 pub fn check(args: &Args) -> Result<Checked> {
     let mut checker = Checker::default();
     let c = &mut checker;
@@ -197,14 +198,14 @@
     let hall = c.name("hall", &args.hall);
     let region = c.name("region", &args.region);
     let wanted = POLICIES.join(", ");
-    let policy = c.take("policy", &args.policy, &wanted, |policy: &String| {
+    let policy = c.setting("policy", &args.policy, &wanted, |policy: &String| {
         POLICIES.contains(&policy.as_str())
     });
-    let me = || Some(me(entry?, peer?, hall?, region?));
+    let me = || Some(initial_peer(entry?, peer?, hall?, region?));
     let settings = settings(c, args, me());
-    let body_max = c.whole("body-max", &args.body_max, 1_024, 67_108_864);
-    let silence = c.whole("silence", &args.silence, 100, 3_600_000);
-    let threads = c.whole("threads", &args.threads, 1, 64);
+    let body_max = c.integer("body-max", &args.body_max, 1_024, 67_108_864);
+    let silence = c.integer("silence", &args.silence, 100, 3_600_000);
+    let threads = c.integer("threads", &args.threads, 1, 64);
     c.log_level(&args.log_level);
     let is_hash = |text: &String| text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
     c.secret(
@@ -233,8 +234,8 @@
     checked().ok_or_else(missing)
 }
 
-/// This router as the others are told of it.
-fn me(entry: SocketAddr, address: SocketAddr, hall: String, region: String) -> Peer {
+/// This router as it first announces itself to the others.
+fn initial_peer(entry: SocketAddr, address: SocketAddr, hall: String, region: String) -> Peer {
     Peer {
         incarnation: Incarnation(rand::rng().random()),
         counter: 0,
@@ -250,19 +251,19 @@
 }
 
 fn settings(c: &mut Checker, args: &Args, me: Option<Peer>) -> Option<Settings> {
-    let horizon: Option<u64> = c.whole("horizon", &args.horizon, 1, 86_400);
-    let append_gap = c.whole("append-gap", &args.append_gap, 1, 60_000);
-    let close_after = c.whole("close-after", &args.close_after, 1_000, 600_000);
-    let every = c.whole("checkpoint-every", &args.checkpoint_every, 10, 10_000_000);
-    let queue = c.whole("queue", &args.queue, 1, 65_536);
-    let step = c.whole("step", &args.step, 0, 600_000);
+    let horizon: Option<u64> = c.integer("horizon", &args.horizon, 1, 86_400);
+    let append_gap = c.integer("append-gap", &args.append_gap, 1, 60_000);
+    let close_after = c.integer("close-after", &args.close_after, 1_000, 600_000);
+    let checkpoint_every = c.integer("checkpoint-every", &args.checkpoint_every, 10, 10_000_000);
+    let queue = c.integer("queue", &args.queue, 1, 65_536);
+    let step = c.integer("step", &args.step, 0, 600_000);
     let mut settings = Settings::new(me?, rand::rng().random());
     settings.sizing = Sizing {
         horizon: Millis(horizon? * 1_000),
     };
     settings.append_gap = Millis(append_gap?);
     settings.close_after = Millis(close_after?);
-    settings.checkpoint_every = every?;
+    settings.checkpoint_every = checkpoint_every?;
     settings.bound = Bound {
         len: queue?,
         step: Millis(step?),
@@ -270,18 +271,18 @@
     Some(settings)
 }
 
-/// Binds an address, and says which where that fails.
-pub async fn bind(what: &str, address: SocketAddr) -> Result<TcpListener> {
+/// Binds an address. The error of a failed bind names the option and the address.
+pub async fn bind(option: &str, address: SocketAddr) -> Result<TcpListener> {
     TcpListener::bind(address)
         .await
         .map_err(|source| Error::Io {
-            what: format!("--{what} {address}"),
+            what: format!("--{option} {address}"),
             source,
         })
 }
 
-/// Binds a router's addresses; those given with port 0 are filled in.
-pub async fn bound(mut checked: Checked, signals: Signals) -> Result<router::Options> {
+/// Binds a router's addresses, and replaces port 0 in the settings by the port that was bound.
+pub async fn bind_listeners(mut checked: Checked, signals: Signals) -> Result<router::Options> {
     let entry = bind("entry", checked.settings.me.entry).await?;
     let peers = bind("peer", checked.settings.me.address).await?;
     let local = |listener: &TcpListener| {
@@ -306,24 +307,24 @@
     })
 }
 
-fn read(args: &[String], adapter: &Adapter) -> Result<Checked> {
+fn reparse(args: &[String], adapter: &Adapter) -> Result<Checked> {
     match parse(args, adapter)?.command {
         Some(Command::Router(args)) => check(&args),
         _ => super::usage("no router command"),
     }
 }
 
-/// Runs a router by the options `given`, which SIGHUP has read again from the command line `args`.
-pub fn run(given: &Args, args: &[String], adapter: &Adapter) -> Result<()> {
-    let checked = check(given)?;
+/// Runs a router with the parsed options. SIGHUP parses and validates the command line `args` again.
+pub fn run(options: &Args, args: &[String], adapter: &Adapter) -> Result<()> {
+    let checked = check(options)?;
     start_logs(&checked.log_level);
     if checked.policy != POLICY {
         tracing::warn!(event = "policy_removed", given = %checked.policy, in_force = POLICY);
     }
     let (args, adapter) = (args.to_vec(), adapter.clone());
-    let reload = reload(move || read(&args, &adapter).map(|checked| checked.in_force));
+    let reload = reload(move || reparse(&args, &adapter).map(|checked| checked.in_force));
     block_on(checked.threads, async {
-        let options = bound(checked, super::signals(reload)?).await?;
+        let options = bind_listeners(checked, super::signals(reload)?).await?;
         let me = &options.settings.me;
         print(&format!("entry={} peer={}\n", me.entry, me.address))?;
         tracing::info!(event = "listening", entry = %me.entry, peer = %me.address, incarnation = %me.incarnation);
--- a/src/cmd/standin.rs
+++ b/src/cmd/standin.rs
@@ -1,4 +1,4 @@
-//! `lanedeck standin`: the platform and the targets, played by small processes.
+//! `lanedeck standin`: runs a stand-in for a service of the platform or for a target.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use volo_http::server::route::Router;
 
-use super::client::address;
+use super::client::parse_address;
 use super::router::bind;
 use super::{Error, Result, block_on, print, start_logs, usage};
 use crate::standin::engine::{Engine, Shape};
@@ -15,8 +15,10 @@
 use crate::standin::serve;
 use crate::standin::service::Service;
 
-pub const ABOUT: &str = "Runs a stand-in for what a fleet meets. Faults are set while it runs:
-POST /v1/faults with the JSON fields to change; the fields are in the module of each kind.
+pub const ABOUT: &str =
+    "Runs a stand-in for a service that a fleet depends on. POST /v1/faults sets
+the faults of a running stand-in: the body is a JSON object, and a field that it omits is reset. The
+module of each kind documents the fields.
 
 Examples:
   lanedeck standin log --listen 127.0.0.1:7100
@@ -26,20 +28,20 @@
 
 #[derive(Debug, Options)]
 pub struct Args {
-    #[options(help = "print this")]
+    #[options(help = "print this help")]
     help: bool,
     #[options(
         no_short,
         meta = "IP:PORT",
         default = "127.0.0.1:0",
-        help = "where it listens; port 0 takes a free one"
+        help = "listening address; port 0 picks a free port"
     )]
     listen: String,
     #[options(
         no_short,
         meta = "N",
         default = "16",
-        help = "engine: requests at once"
+        help = "engine: concurrent requests"
     )]
     slots: usize,
     #[options(
@@ -53,29 +55,29 @@
         no_short,
         meta = "MS",
         default = "10",
-        help = "engine: time between two tokens, in milliseconds"
+        help = "engine: time between tokens, in milliseconds"
     )]
     between: u64,
-    #[options(no_short, help = "engine: takes orders whatever their fence")]
+    #[options(no_short, help = "engine: accepts requests with a stale fencing token")]
     unfenced: bool,
     #[options(free)]
     kind: Vec<String>,
 }
 
 pub fn run(args: &Args) -> Result<()> {
-    let listen = address("listen", &args.listen)?;
+    let listen = parse_address("listen", &args.listen)?;
     let kind = args.kind.first().map(String::as_str);
     let routes = match kind {
         Some("log") => Log::default().routes(),
         Some("hosts") => Hosts::default().routes(),
-        Some("engine") => Engine::new(shape(args)).routes(),
+        Some("engine") => Engine::new(engine_shape(args)).routes(),
         Some("service") => Service::default().routes(),
         _ => return usage("wanted is log, hosts, engine or service"),
     };
     start_logs("warn");
     block_on(2, async {
         let listener = bind("listen", listen).await?;
-        announce(&listener)?;
+        print_address(&listener)?;
         run_routes(listener, routes).await;
         Ok(())
     })
@@ -85,7 +87,7 @@
     serve(listener, routes).await;
 }
 
-fn announce(listener: &TcpListener) -> Result<()> {
+fn print_address(listener: &TcpListener) -> Result<()> {
     let address = listener.local_addr().map_err(|source| Error::Io {
         what: "bound address".to_owned(),
         source,
@@ -93,7 +95,7 @@
     print(&format!("listen={address}\n"))
 }
 
-fn shape(args: &Args) -> Shape {
+fn engine_shape(args: &Args) -> Shape {
     Shape {
         slots: args.slots.max(1),
         first: Duration::from_millis(args.first),
