--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -15,7 +15,7 @@
 use super::{Error, Result, block_on, failed, print, start_logs};
 use crate::router::client::Listed;
 use crate::router::http::{BILLED, BUDGET, REASON, VERDICT};
-use crate::standin::engine::{Engine, Shape};
+use crate::standin::engine::{Engine, EngineConfig};
 use crate::standin::hosts::Hosts;
 use crate::standin::log::Log;
 use crate::standin::serve;
@@ -164,7 +164,10 @@
     let mut targets = Vec::new();
     for name in ["engine-1", "engine-2"] {
         let (listener, address) = bind_loopback(0).await?;
-        tokio::spawn(serve(listener, Engine::new(Shape::default()).routes()));
+        tokio::spawn(serve(
+            listener,
+            Engine::new(EngineConfig::default()).routes(),
+        ));
         targets.push((name, target(address, "engine", "assistant", 0)));
     }
     let (service_listener, address) = bind_loopback(0).await?;
--- a/src/cmd/standin.rs
+++ b/src/cmd/standin.rs
@@ -9,7 +9,7 @@
 use super::client::parse_address;
 use super::router::bind;
 use super::{Error, Result, block_on, print, start_logs, usage};
-use crate::standin::engine::{Engine, Shape};
+use crate::standin::engine::{Engine, EngineConfig};
 use crate::standin::hosts::Hosts;
 use crate::standin::log::Log;
 use crate::standin::serve;
@@ -70,7 +70,7 @@
     let routes = match kind {
         Some("log") => Log::default().routes(),
         Some("hosts") => Hosts::default().routes(),
-        Some("engine") => Engine::new(engine_shape(args)).routes(),
+        Some("engine") => Engine::new(engine_config(args)).routes(),
         Some("service") => Service::default().routes(),
         _ => return usage("wanted is log, hosts, engine or service"),
     };
@@ -95,11 +95,11 @@
     print(&format!("listen={address}\n"))
 }
 
-fn engine_shape(args: &Args) -> Shape {
-    Shape {
+fn engine_config(args: &Args) -> EngineConfig {
+    EngineConfig {
         slots: args.slots.max(1),
-        first: Duration::from_millis(args.first),
-        between: Duration::from_millis(args.between),
+        first_token: Duration::from_millis(args.first),
+        between_tokens: Duration::from_millis(args.between),
         checks_fence: !args.unfenced,
     }
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -1,8 +1,7 @@
-//! A model engine: batches, streams, resumes, and can misbehave.
+//! Stand-in for a model engine: it batches, streams and resumes, and has faults that can be set.
 //!
-//! Its answer is a function of the prompt, so a test knows every byte of it. The word at place
-//! `i` is there from a moment that is known when the request starts; streaming and resuming only
-//! read that schedule.
+//! A response is a function of the prompt, so that a test can check every byte of it. The time at which each word
+//! becomes available is fixed when the request starts; streaming and resuming follow that schedule.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -27,25 +26,25 @@
 use crate::router::http::relay::{Fate, Load};
 use crate::router::http::{Headers, chat};
 
-/// Speed and size of an engine.
+/// Speed and capacity of an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Shape {
-    /// Requests that it runs at once; others wait inside it.
+pub struct EngineConfig {
+    /// Requests that run concurrently; others wait inside the engine.
     pub slots: usize,
     /// Time to the first token when idle.
-    pub first: Duration,
-    /// Time between two tokens.
-    pub between: Duration,
-    /// Whether it refuses orders with an older fence than it has seen.
+    pub first_token: Duration,
+    /// Time between tokens.
+    pub between_tokens: Duration,
+    /// Whether it refuses requests whose fencing token is older than the newest it has seen.
     pub checks_fence: bool,
 }
 
-impl Default for Shape {
+impl Default for EngineConfig {
     fn default() -> Self {
         Self {
             slots: 16,
-            first: Duration::from_millis(20),
-            between: Duration::from_millis(10),
+            first_token: Duration::from_millis(20),
+            between_tokens: Duration::from_millis(10),
             checks_fence: true,
         }
     }
@@ -55,27 +54,27 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answers every request with an error, at once.
+    /// Answers every request with an error immediately.
     pub failing: bool,
-    /// Share of requests that it refuses and says it has not run, in thousandths.
+    /// Share of requests refused with the verdict that they have not run, per thousand.
     pub refuse_permille: u32,
-    /// Share of streams that it cuts in the middle; they can be resumed. In thousandths.
+    /// Share of streams cut in the middle, per thousand; they can be resumed.
     pub cut_permille: u32,
-    /// Whether it cuts every stream in the middle that begins at its start.
+    /// Whether every stream that starts at its first frame is cut in the middle.
     pub cut_first: bool,
-    /// Resumes that it still cuts before anything new.
+    /// Number of further resumes that are cut before a new frame.
     pub lost_resumes: u32,
-    /// Share of frames sent twice, in thousandths.
+    /// Share of frames sent twice, per thousand.
     pub repeat_permille: u32,
-    /// Share of streams into which a frame of another request strays, in thousandths.
+    /// Share of frames before which a frame of another request is sent, per thousand.
     pub cross_permille: u32,
-    /// Everything takes this many times as long; 0 counts as 1.
+    /// Factor by which all times of a request are multiplied; 0 counts as 1.
     pub slow: u32,
-    /// Whether it cannot resume streams.
+    /// Whether it answers resumes and questions for a request as if it had no record of it.
     pub forgets: bool,
 }
 
-/// What a request left behind.
+/// A request that has started, kept so that its stream can be resumed.
 #[derive(Clone, Debug)]
 struct Run {
     prompt: String,
@@ -95,31 +94,31 @@
     fence: u64,
 }
 
-/// The engine's state.
+/// The engine with its faults and the requests that ran.
 #[derive(Clone)]
 pub struct Engine {
-    shape: Shape,
+    config: EngineConfig,
     slots: Arc<Semaphore>,
     inner: Arc<Mutex<Inner>>,
 }
 
-/// The word at a place of the answer to a prompt.
-pub fn word(prompt: &str, place: u64) -> String {
-    let hash = xxh3_64_with_seed(prompt.as_bytes(), place);
+/// The word at an index of the response to a prompt.
+pub fn word(prompt: &str, index: u64) -> String {
+    let hash = xxh3_64_with_seed(prompt.as_bytes(), index);
     format!("{:x} ", hash & 0xffff)
 }
 
 impl Engine {
-    /// An idle engine.
-    pub fn new(shape: Shape) -> Self {
+    /// Creates an idle engine.
+    pub fn new(config: EngineConfig) -> Self {
         Self {
-            shape,
-            slots: Arc::new(Semaphore::new(shape.slots)),
+            config,
+            slots: Arc::new(Semaphore::new(config.slots)),
             inner: Arc::default(),
         }
     }
 
-    /// The routes that serve it.
+    /// The HTTP routes of the engine.
     pub fn routes(&self) -> Router {
         let (a, b, c) = (self.clone(), self.clone(), self.clone());
         let (d, e, f) = (self.clone(), self.clone(), self.clone());
@@ -156,7 +155,7 @@
     async fn chat(&self, headers: &HeaderMap, body: &Bytes) -> Response {
         let dispatch = match Dispatch::read(headers) {
             Ok(dispatch) => dispatch,
-            Err(why) => return json(StatusCode::BAD_REQUEST, &why),
+            Err(message) => return json(StatusCode::BAD_REQUEST, &message),
         };
         let call = match chat::parse(body) {
             Ok(call) => call,
@@ -181,7 +180,7 @@
             return false;
         };
         let mut inner = lock(&self.inner);
-        let stale = self.shape.checks_fence && fence < inner.fence;
+        let stale = self.config.checks_fence && fence < inner.fence;
         inner.fence = inner.fence.max(fence);
         stale
     }
@@ -196,13 +195,13 @@
             attempt: dispatch.attempt,
             tokens,
             prompt_tokens: (prompt.len() as u64).div_ceil(4),
-            start: Instant::now() + self.shape.first * slow,
-            between: self.shape.between * slow,
+            start: Instant::now() + self.config.first_token * slow,
+            between: self.config.between_tokens * slow,
         };
         *inner.ran.entry(dispatch.id.clone()).or_default() += 1;
         inner.runs.insert(dispatch.id.clone(), run.clone());
         drop(inner);
-        let end = run.at(run.tokens);
+        let end = run.due_at(run.tokens);
         let state = Arc::clone(&self.inner);
         tokio::spawn(async move {
             tokio::time::sleep_until(end).await;
@@ -215,24 +214,24 @@
     fn stream(&self, id: String, run: Run, from: u64) -> Response {
         let faults = lock(&self.inner).faults;
         let cut = rand::rng().random_range(0..1_000) < faults.cut_permille;
-        let stop = if cut || (from == 0 && faults.cut_first) {
+        let cut_at = if cut || (from == 0 && faults.cut_first) {
             from + (run.tokens - from) / 2
         } else if from > 0 && self.loses_resume() {
             from
         } else {
             u64::MAX
         };
-        let frames = Frames {
+        let frames = FrameStream {
             id,
             run,
             next: from,
-            stop,
+            cut_at,
             faults,
         };
         Sse::new(frames.events()).into_response()
     }
 
-    /// Whether this resume is one of those that are cut at once.
+    /// Whether this resume is cut before a new frame; uses up one of `lost_resumes`.
     fn loses_resume(&self) -> bool {
         let faults = &mut lock(&self.inner).faults;
         let left = faults.lost_resumes;
@@ -259,7 +258,7 @@
         let fate = match inner.runs.get(id) {
             Some(run) => Fate {
                 ran: true,
-                done: Instant::now() >= run.at(run.tokens),
+                done: Instant::now() >= run.due_at(run.tokens),
                 used: run.prompt_tokens + run.tokens,
             },
             None => Fate {
@@ -286,13 +285,13 @@
 }
 
 impl Run {
-    /// When the word at a place is there; the end is at `tokens`.
-    fn at(&self, place: u64) -> Instant {
-        self.start + self.between * u32::try_from(place).unwrap_or(u32::MAX)
+    /// When the word at an index becomes available; the last frame is due at index `tokens`.
+    fn due_at(&self, index: u64) -> Instant {
+        self.start + self.between * u32::try_from(index).unwrap_or(u32::MAX)
     }
 }
 
-/// The answer that says that a request has not run.
+/// Builds the response with the verdict that a request has not run.
 pub(super) fn not_run() -> Response {
     let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
     let value = http::HeaderValue::from_static("not_run");
@@ -302,11 +301,11 @@
     response
 }
 
-/// What a router's headers say.
+/// The request headers that a router sets.
 pub(super) struct Dispatch {
     pub id: String,
     pub attempt: u32,
-    /// None in a call that does not come from a router.
+    /// The fencing token; `None` in a call that does not come from a router.
     pub fence: Option<u64>,
 }
 
@@ -323,61 +322,61 @@
     }
 }
 
-/// What is left of a stream.
-struct Frames {
+/// The remaining frames of a stream.
+struct FrameStream {
     id: String,
     run: Run,
     next: u64,
-    stop: u64,
+    cut_at: u64,
     faults: Faults,
 }
 
-impl Frames {
+impl FrameStream {
     fn events(self) -> impl Stream<Item = Result<Event, std::io::Error>> + Send + Sync {
-        futures::stream::unfold(SyncFrames(Mutex::new(self)), |frames| async move {
-            let wait = lock(&frames.0).due()?;
-            tokio::time::sleep_until(wait).await;
+        futures::stream::unfold(SyncFrameStream(Mutex::new(self)), |frames| async move {
+            let due = lock(&frames.0).due()?;
+            tokio::time::sleep_until(due).await;
             let event = lock(&frames.0).event();
             Some((event, frames))
         })
     }
 
-    /// When the next frame is due; `None` at the end.
+    /// When the next frame is due; `None` after the last.
     fn due(&self) -> Option<Instant> {
-        (self.next <= self.run.tokens + 1).then(|| self.run.at(self.next.min(self.run.tokens)))
+        (self.next <= self.run.tokens + 1).then(|| self.run.due_at(self.next.min(self.run.tokens)))
     }
 
     fn event(&mut self) -> Result<Event, std::io::Error> {
-        if self.next >= self.stop {
+        if self.next >= self.cut_at {
             return Err(std::io::Error::other("cut"));
         }
-        let place = self.next;
+        let index = self.next;
         self.next += 1;
-        if place > self.run.tokens {
+        if index > self.run.tokens {
             return Ok(Event::new().data("[DONE]"));
         }
         let mut rng = rand::rng();
-        if place > 0 && rng.random_range(0..1_000) < self.faults.repeat_permille {
+        if index > 0 && rng.random_range(0..1_000) < self.faults.repeat_permille {
             self.next -= 1;
-            return Ok(Event::new().data(self.frame(place - 1, &self.id).as_str()));
+            return Ok(Event::new().data(self.frame(index - 1, &self.id).as_str()));
         }
         if rng.random_range(0..1_000) < self.faults.cross_permille {
             self.next -= 1;
-            return Ok(Event::new().data(self.frame(place, "somebody.else").as_str()));
+            return Ok(Event::new().data(self.frame(index, "somebody.else").as_str()));
         }
-        Ok(Event::new().data(self.frame(place, &self.id).as_str()))
+        Ok(Event::new().data(self.frame(index, &self.id).as_str()))
     }
 
-    fn frame(&self, place: u64, id: &str) -> String {
+    fn frame(&self, index: u64, id: &str) -> String {
         let run = &self.run;
-        let frame = if place < run.tokens {
-            chat::Frame::word(id, run.attempt, place, word(&run.prompt, place))
+        let frame = if index < run.tokens {
+            chat::Frame::word(id, run.attempt, index, word(&run.prompt, index))
         } else {
-            chat::Frame::last(id, run.attempt, place, run.prompt_tokens)
+            chat::Frame::last(id, run.attempt, index, run.prompt_tokens)
         };
         serde_json::to_string(&frame).expect("frames are plain data")
     }
 }
 
-/// A stream's state has to be shareable between threads, though only one polls it.
-struct SyncFrames(Mutex<Frames>);
+/// Makes the state of a stream `Sync`, which an SSE response requires although only one thread polls it.
+struct SyncFrameStream(Mutex<FrameStream>);
--- a/src/standin/hosts.rs
+++ b/src/standin/hosts.rs
@@ -1,4 +1,4 @@
-//! The host list: what it was told, some time ago.
+//! Stand-in for the host list. It can serve an older version of the list.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -17,42 +17,42 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answers nothing but errors.
+    /// Answers every request for the list with an error.
     pub down: bool,
-    /// Age of what it answers, in milliseconds.
+    /// Age of the version that it serves, in milliseconds.
     pub lag_ms: u64,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    told: Vec<(Instant, Vec<Listed>)>,
+    versions: Vec<(Instant, Vec<Listed>)>,
     faults: Faults,
 }
 
-/// The list's state.
+/// The host list with all its versions.
 #[derive(Clone, Debug, Default)]
 pub struct Hosts {
     inner: Arc<Mutex<Inner>>,
 }
 
 impl Hosts {
-    /// The routes that serve it.
+    /// The HTTP routes of the host list.
     pub fn routes(&self) -> Router {
         let (a, b, c) = (self.clone(), self.clone(), self.clone());
         let list = get(move || async move { a.list() });
-        let list = list.post(move |body: Bytes| async move { b.tell(&body) });
+        let list = list.post(move |body: Bytes| async move { b.post_list(&body) });
         Router::new().route("/v1/hosts", list).route(
             "/v1/faults",
             post(move |body: Bytes| async move { c.set_faults(&body) }),
         )
     }
 
-    /// Tells it the hosts from now on.
+    /// Sets the hosts from now on.
     pub fn set(&self, hosts: Vec<Listed>) {
-        lock(&self.inner).told.push((Instant::now(), hosts));
+        lock(&self.inner).versions.push((Instant::now(), hosts));
     }
 
-    fn tell(&self, body: &Bytes) -> Response {
+    fn post_list(&self, body: &Bytes) -> Response {
         set_faults(body, |hosts| self.set(hosts))
     }
 
@@ -62,8 +62,12 @@
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let lag = Duration::from_millis(inner.faults.lag_ms);
-        let old = inner.told.iter().rev().find(|(at, _)| at.elapsed() >= lag);
-        let hosts = old.map_or(&[][..], |(_, hosts)| hosts.as_slice());
+        let current = inner
+            .versions
+            .iter()
+            .rev()
+            .find(|(at, _)| at.elapsed() >= lag);
+        let hosts = current.map_or(&[][..], |(_, hosts)| hosts.as_slice());
         json(StatusCode::OK, &hosts)
     }
 
--- a/src/standin/log.rs
+++ b/src/standin/log.rs
@@ -1,4 +1,4 @@
-//! The log: append-only streams with offsets, limited retention, outages and lost answers.
+//! Stand-in for the log: append-only streams with offsets, limited retention, outages and lost responses.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -19,20 +19,20 @@
 use super::{empty, json, lock, set_faults};
 use crate::router::client::{Appended, ReadAnswer, ReadRequest, StreamPage};
 
-/// Records in one answer for one stream.
-const PAGE: usize = 2_000;
+/// Most records of one stream in one response.
+const PAGE_RECORDS: usize = 2_000;
 
 /// Faults of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Answers nothing but errors.
+    /// Answers every append and read with an error.
     pub down: bool,
-    /// Waits this long before each answer, in milliseconds.
+    /// Delay before each append and read is processed, in milliseconds.
     pub delay_ms: u64,
-    /// Share of appends that are taken but answered with an error, in thousandths.
+    /// Share of appends that are stored but answered with an error, per thousand.
     pub lose_permille: u32,
-    /// Records kept in each stream; 0 keeps all.
+    /// Records retained in each stream at an append; 0 retains all.
     pub retain: usize,
 }
 
@@ -50,19 +50,19 @@
     bytes: u64,
 }
 
-/// The log's state.
+/// The log with its streams and faults.
 #[derive(Clone, Debug)]
 pub struct Log {
     inner: Arc<Mutex<Inner>>,
-    moved: watch::Sender<u64>,
+    appended: watch::Sender<u64>,
 }
 
-/// How much the log has taken.
+/// Totals of the appends to the log.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Stats {
-    /// Appends.
+    /// Number of appends.
     pub appends: u64,
-    /// Their bytes.
+    /// Bytes appended.
     pub bytes: u64,
 }
 
@@ -70,13 +70,13 @@
     fn default() -> Self {
         Self {
             inner: Arc::default(),
-            moved: watch::Sender::new(0),
+            appended: watch::Sender::new(0),
         }
     }
 }
 
 impl Log {
-    /// The routes that serve it.
+    /// The HTTP routes of the log.
     pub fn routes(&self) -> Router {
         let (a, b, c, d) = (self.clone(), self.clone(), self.clone(), self.clone());
         Router::new()
@@ -99,8 +99,8 @@
             .route("/v1/stats", get(move || async move { d.stats() }))
     }
 
-    /// Waits as the faults say; `None` while the log is down.
-    async fn gate(&self) -> Option<Faults> {
+    /// Applies the delay of the faults; `None` while the log is down.
+    async fn apply_faults(&self) -> Option<Faults> {
         let faults = lock(&self.inner).faults;
         if faults.delay_ms > 0 {
             tokio::time::sleep(Duration::from_millis(faults.delay_ms)).await;
@@ -109,11 +109,11 @@
     }
 
     async fn append(&self, stream: String, body: Bytes) -> Response {
-        let Some(faults) = self.gate().await else {
+        let Some(faults) = self.apply_faults().await else {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         };
         let offset = self.push(stream, body, faults.retain);
-        self.moved.send_modify(|count| *count += 1);
+        self.appended.send_modify(|count| *count += 1);
         let lost = rand::rng().random_range(0..1_000) < faults.lose_permille;
         if lost {
             return empty(StatusCode::INTERNAL_SERVER_ERROR);
@@ -143,19 +143,19 @@
             Ok(request) => request,
             Err(error) => return json(StatusCode::BAD_REQUEST, &error.to_string()),
         };
-        if self.gate().await.is_none() {
+        if self.apply_faults().await.is_none() {
             return empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let mut moved = self.moved.subscribe();
+        let mut appended = self.appended.subscribe();
         let wait = Duration::from_millis(request.wait_ms.min(20_000));
         let deadline = tokio::time::Instant::now() + wait;
         loop {
-            moved.borrow_and_update();
-            let streams = self.news(&request.cursors);
+            appended.borrow_and_update();
+            let streams = self.new_pages(&request.cursors);
             if !streams.is_empty() {
                 return json(StatusCode::OK, &ReadAnswer { streams });
             }
-            if tokio::time::timeout_at(deadline, moved.changed())
+            if tokio::time::timeout_at(deadline, appended.changed())
                 .await
                 .is_err()
             {
@@ -164,7 +164,7 @@
         }
     }
 
-    fn news(&self, cursors: &[(String, u64)]) -> Vec<StreamPage> {
+    fn new_pages(&self, cursors: &[(String, u64)]) -> Vec<StreamPage> {
         let inner = lock(&self.inner);
         let mut pages = Vec::new();
         for (stream, from) in cursors {
@@ -173,7 +173,7 @@
             };
             let from = (*from).max(records.first);
             let skip = usize::try_from(from - records.first).unwrap_or(usize::MAX);
-            let new = records.records.iter().skip(skip).take(PAGE);
+            let new = records.records.iter().skip(skip).take(PAGE_RECORDS);
             let new: Vec<String> = new.map(|record| STANDARD.encode(record)).collect();
             if !new.is_empty() {
                 pages.push(StreamPage {
--- a/src/standin/mod.rs
+++ b/src/standin/mod.rs
@@ -1,7 +1,7 @@
-//! Small stand-ins for what lanedeck meets: the log, the host list, engines and services.
+//! Stand-ins for the services that lanedeck depends on: the log, the host list, engines and services.
 //!
-//! Each is an ordinary HTTP server with faults that can be set while it runs, by a
-//! `POST /v1/faults` of the fields to change. They keep everything in memory.
+//! Each is an HTTP server that keeps its state in memory. `POST /v1/faults` sets its faults while it runs: the body
+//! is a JSON object, and a field that it omits is reset.
 
 pub mod engine;
 pub mod hosts;
@@ -20,7 +20,7 @@
 use volo_http::response::Response;
 use volo_http::server::{Router, Server};
 
-/// Serves routes until a signal ends the process.
+/// Serves routes until a signal ends the process; a failure of the server is logged.
 pub(crate) async fn serve(listener: TcpListener, routes: Router) {
     let server = Server::new(routes).http1_only();
     if let Err(error) = server.run(DefaultIncoming::from(listener)).await {
@@ -28,26 +28,26 @@
     }
 }
 
-/// A JSON answer.
+/// Builds a JSON response.
 pub(crate) fn json<T: Serialize>(status: StatusCode, value: &T) -> Response {
-    let body = serde_json::to_vec(value).expect("answers are plain data");
+    let body = serde_json::to_vec(value).expect("responses are plain data");
     let mut response = Response::new(Body::from(body));
     *response.status_mut() = status;
-    let kind = http::HeaderValue::from_static("application/json");
+    let content_type = http::HeaderValue::from_static("application/json");
     response
         .headers_mut()
-        .insert(http::header::CONTENT_TYPE, kind);
+        .insert(http::header::CONTENT_TYPE, content_type);
     response
 }
 
-/// An answer without a body.
+/// Builds a response without a body.
 pub(crate) fn empty(status: StatusCode) -> Response {
     let mut response = Response::new(Body::empty());
     *response.status_mut() = status;
     response
 }
 
-/// Sets faults from a JSON body, or says what is wrong with it.
+/// Parses a JSON body and passes it to `set`; an invalid body is answered with the parse error.
 pub(crate) fn set_faults<T: DeserializeOwned>(body: &Bytes, set: impl FnOnce(T)) -> Response {
     match serde_json::from_slice(body) {
         Ok(faults) => {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Locks state that no panic leaves broken.
+/// Locks a mutex and ignores poisoning: a panic never leaves the guarded state inconsistent.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -1,4 +1,4 @@
-//! A plain service, such as one that issues tickets: it counts how often each request ran.
+//! Stand-in for a service without streaming, such as one that issues tickets. It counts how often each request ran.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -22,11 +22,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Faults {
-    /// Waits this long before it answers, in milliseconds; it has acted by then.
+    /// Delay before the response, in milliseconds; the request has run by then.
     pub delay_ms: u64,
-    /// Acts, and answers with an error.
+    /// Runs each request and answers it with an error.
     pub acts_and_fails: bool,
-    /// Refuses everything and says it has not run it.
+    /// Refuses every request with the verdict that it has not run.
     pub refuses: bool,
 }
 
@@ -37,28 +37,28 @@
     running: u32,
 }
 
-/// The service's state.
+/// The service with its faults and the requests that ran.
 #[derive(Clone, Debug, Default)]
 pub struct Service {
     inner: Arc<Mutex<Inner>>,
 }
 
-/// A call's answer.
+/// The response to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Receipt {
-    /// The request.
+    /// The id of the request.
     pub request_id: String,
-    /// Hash of what was sent.
+    /// Hash of the request body.
     pub receipt: String,
 }
 
-/// The receipt's number for a body.
+/// The receipt for a request body: its hash in hexadecimal.
 pub fn receipt(body: &[u8]) -> String {
     format!("{:016x}", xxh3_64(body))
 }
 
 impl Service {
-    /// The routes that serve it.
+    /// The HTTP routes of the service.
     pub fn routes(&self) -> Router {
         let (a, b, c) = (self.clone(), self.clone(), self.clone());
         let (d, e) = (self.clone(), self.clone());
@@ -84,7 +84,7 @@
     async fn call(&self, headers: &HeaderMap, body: &Bytes) -> Response {
         let dispatch = match Dispatch::read(headers) {
             Ok(dispatch) => dispatch,
-            Err(why) => return json(StatusCode::BAD_REQUEST, &why),
+            Err(message) => return json(StatusCode::BAD_REQUEST, &message),
         };
         let faults = {
             let mut inner = lock(&self.inner);
