--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What the choice of a target costs a router: time and allocations, at several sizes.
+//! Benchmarks target selection in a router: time and allocations per choice, for several numbers of targets.
 //!
 //! `cargo bench --bench decisions`
 
@@ -17,15 +17,16 @@
 
 const ROUNDS: u64 = 5_000;
 
-/// Runs a step many times; nanoseconds and allocations of each, best of three.
+/// Runs a step [`ROUNDS`] times in each of three passes. Returns nanoseconds per step of the fastest pass and
+/// allocations per step of the last.
 fn measure(mut step: impl FnMut(u64)) -> (f64, f64) {
     let mut best = f64::INFINITY;
     let mut allocations = 0.0;
-    for turn in 0..3 {
+    for pass in 0..3 {
         let region = Region::new(GLOBAL);
         let start = Instant::now();
         for round in 0..ROUNDS {
-            step(turn * ROUNDS + round);
+            step(pass * ROUNDS + round);
         }
         best = best.min(start.elapsed().as_nanos() as f64 / ROUNDS as f64);
         allocations = region.change().allocations as f64 / ROUNDS as f64;
@@ -34,8 +35,8 @@
 }
 
 fn choose(targets: usize) -> (f64, f64) {
-    let target = |place: usize| Target {
-        address: ([127, 0, 0, 1], 1_000 + place as u16).into(),
+    let target = |index: usize| Target {
+        address: ([127, 0, 0, 1], 1_000 + index as u16).into(),
         kind: Kind::Engine,
         serves: "m".into(),
         hall: "h".into(),
@@ -45,7 +46,7 @@
         call_price: Tokens(0),
     };
     let targets: Vec<_> = (0..targets)
-        .map(|place| (format!("t{place}"), target(place)))
+        .map(|index| (format!("t{index}"), target(index)))
         .collect();
     let mut pool = Pool::default();
     pool.update(
--- a/src/boot_clock.rs
+++ b/src/boot_clock.rs
@@ -1,7 +1,7 @@
-//! The host's steady clock, which all processes of one boot of the host read alike.
+//! The host's boot-time clock, which is the same for all processes of one boot.
 //!
-//! It counts from the boot, also while the host sleeps, and nobody can set it. A reading names its boot, since
-//! readings of two boots say nothing of each other.
+//! It counts from the boot, also while the host is suspended, and cannot be set. A reading identifies its boot, since
+//! readings of different boots cannot be compared.
 
 use std::time::Duration;
 
@@ -11,34 +11,34 @@
 
 use crate::units::Millis;
 
-/// Where the system tells the id of its boot, which is drawn anew at each.
+/// File with the id of the boot, a new random one at each boot.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 
-/// What the clock reads at the boot, in milliseconds: differences to times before it are needed.
+/// What the clock reads at the boot. It is not zero, so that times before the boot can be represented.
 pub const AT_BOOT: Millis = Millis(1_000_000);
 
-/// The time by the host's steady clock. Whatever is told to another host, or was told by one, is timed by it: the
-/// clock that timers run by stands still while the host sleeps, and would have a caller wait on that has left.
+/// Reads the boot-time clock. Whatever is exchanged with another host is timed by it: the monotonic clock that timers
+/// use stops while the host is suspended, so that a caller that has given up would still count as waiting.
 ///
 /// # Panics
-/// Where the system has no such clock; Linux has had one since 2.6.39.
+/// If the system has no such clock; Linux has had one since 2.6.39.
 pub fn now() -> Millis {
-    let time =
-        clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the system has a clock that counts sleep");
+    let time = clock_gettime(ClockId::CLOCK_BOOTTIME)
+        .expect("the system has a clock that counts during suspend");
     AT_BOOT + Millis(Duration::from(time).as_millis() as u64)
 }
 
-/// A time of the host's steady clock.
+/// A reading of the host's boot-time clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reading {
-    /// Which boot; a hash of its id.
+    /// Hash of the id of the boot.
     pub boot: u64,
-    /// The time since then, from [`AT_BOOT`] on.
+    /// The time since the boot, plus [`AT_BOOT`].
     pub at: Millis,
 }
 
 impl Reading {
-    /// The time now; `None` where the system does not tell it, which is logged.
+    /// Reads the clock; `None` if the id of the boot cannot be read, which is logged.
     pub fn now() -> Option<Self> {
         let boot = match std::fs::read_to_string(BOOT_ID) {
             Ok(id) => xxh3_64(id.trim().as_bytes()),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,10 @@
 //! lanedeck: a router fleet for prepaid token budgets.
 //!
 //! A router decides for each request whether it may run, at what priority and on which target,
-//! and never lets spend pass what was prepaid. There are two front doors, which share the modules
-//! below them and nothing else: [`gateway`] serves callers of a deployment in its own dialect and
-//! keeps what lasts in the deployment's store; [`router`] serves the product's own interface over a
-//! log service. Both use [`net`], [`wire`], [`signals`], [`ejection`],
-//! [`units`] and [`util`].
+//! and never lets spend exceed the prepaid budget. There are two frontends, which share only the
+//! modules below them: [`gateway`] serves callers of a deployment in the deployment's dialect and
+//! keeps durable state in its store; [`router`] serves lanedeck's own interface and keeps durable state
+//! in a log service. Both use [`net`], [`wire`], [`signals`], [`ejection`], [`units`] and [`util`].
 
 #![warn(clippy::unwrap_used)]
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The lanedeck binary: finds the command and runs it, with the adapter of its deployment.
+//! The lanedeck binary: runs the command on the command line with the adapter of the deployment.
 
 #[path = "../platform/mod.rs"]
 mod platform;
--- a/src/panics.rs
+++ b/src/panics.rs
@@ -1,20 +1,21 @@
-//! What becomes of a panic.
+//! Panic hook that aborts the process if an essential thread panics.
 //!
-//! A panic ends one task or one thread, and the rest of the process goes on. A process whose control thread has ended
-//! in part would serve on by the configuration and the targets of that moment, so it ends as a whole and is started
-//! again.
+//! A panic ends one task or one thread, and the rest of the process continues. After a panic in the control thread the
+//! process would continue to serve with the configuration and the targets of that moment, so it aborts instead and is
+//! restarted.
 
 use std::any::Any;
 use std::time::Duration;
 
-/// Time for the log's writer to put out what has ended the process.
-const LAST_LINE: Duration = Duration::from_millis(50);
+/// Delay before the abort, in which the log writer writes the line of the panic.
+const LOG_FLUSH_DELAY: Duration = Duration::from_millis(50);
 
-/// Logs each panic, and has the process end by one in the thread of this name, also where a task of it has caught it.
+/// Installs a hook that logs each panic, and aborts the process after one in the thread of this name, even if a task
+/// on the thread catches it.
 pub fn end_with(thread: &'static str) {
-    let report = std::panic::take_hook();
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        report(info);
+        previous_hook(info);
         let current = std::thread::current();
         let name = current.name().unwrap_or_default();
         let place = info.location().map(ToString::to_string);
@@ -22,13 +23,13 @@
         let reason = reason(info.payload());
         tracing::error!(event = "panicked", thread = name, place, reason);
         if name == thread {
-            std::thread::sleep(LAST_LINE);
+            std::thread::sleep(LOG_FLUSH_DELAY);
             std::process::abort();
         }
     }));
 }
 
-/// What a panic says, where it says something that can be printed.
+/// The message of a panic; empty if its payload is not a string.
 fn reason(payload: &dyn Any) -> &str {
     let text = payload.downcast_ref::<&str>().copied();
     let text = text.or_else(|| payload.downcast_ref::<String>().map(String::as_str));
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,6 +1,6 @@
-//! The signals that a serving process takes: SIGTERM and SIGINT stop it, SIGHUP has its settings read again.
+//! Signal handling of a serving process: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
 //!
-//! They are taken from the moment that [`Signals::new`] returns. Before, the system ends the process at each, but
+//! The handlers are installed when [`Signals::new`] returns. Before that, each signal terminates the process, except
 //! for SIGHUP once [`hold_hangup`] has returned.
 
 use std::io;
@@ -9,11 +9,10 @@
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Reads and checks the settings again: what would be in force, or what is wrong with them, as text for the
-/// log.
+/// Reads and validates the settings again. Returns the effective settings or the errors as text for the log.
 pub type Reload = Arc<dyn Fn() -> Result<String, String> + Send + Sync>;
 
-/// The signals of a process.
+/// Signal handlers of a process.
 pub struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -22,26 +21,26 @@
     reloading: Option<JoinHandle<()>>,
 }
 
-/// Keeps SIGHUP from ending the process from now on. To be called before the settings are read: one that comes
-/// before they are in force asks for nothing more.
+/// Prevents SIGHUP from terminating the process. To be called before the settings are read: a SIGHUP that arrives
+/// before they are in force needs no reload.
 ///
 /// # Errors
-/// The system's, where the signal cannot be taken.
+/// The system's error if the handler cannot be installed.
 pub fn hold_hangup() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let _inside = runtime.enter();
-    // The system's own action stays replaced when this is dropped.
+    let _context = runtime.enter();
+    // The handler remains installed after the stream is dropped.
     signal(SignalKind::hangup()).map(drop)
 }
 
 impl Signals {
-    /// Takes the signals from now on. To be called before anything listens: a process that is ended by a signal
-    /// ends with what has arrived unread.
+    /// Installs the handlers. To be called before any socket listens: a process that a signal terminates loses the
+    /// requests that have arrived but are still unread.
     ///
     /// # Errors
-    /// The system's, where they cannot be taken.
+    /// The system's error if a handler cannot be installed.
     pub fn new(reload: Reload) -> io::Result<Self> {
         Ok(Self {
             terminate: signal(SignalKind::terminate())?,
@@ -52,8 +51,8 @@
         })
     }
 
-    /// Waits until the process is to stop; meanwhile each SIGHUP has the settings read again and logged. What
-    /// the process was started with stays in force.
+    /// Waits for SIGTERM or SIGINT. Meanwhile each SIGHUP reads the settings again and logs them; the settings that
+    /// the process was started with stay in force.
     pub async fn stop(&mut self) {
         loop {
             tokio::select! {
@@ -64,8 +63,8 @@
         }
     }
 
-    /// Reads the settings on a thread of its own: a file that is slow to read would hold up all traffic, and a
-    /// stop. One that is still being read is not read a second time.
+    /// Reads the settings on a separate thread, since a file that is slow to read would block all traffic and a stop.
+    /// While a read is in progress, a further reload is refused.
     fn reload(&mut self) {
         if self
             .reloading
@@ -80,11 +79,11 @@
         }
         let reload = Arc::clone(&self.reload);
         let thread = thread::Builder::new().name("reload".to_owned());
-        let started = thread.spawn(move || match reload() {
+        let spawned = thread.spawn(move || match reload() {
             Ok(in_force) => tracing::info!(event = "reloaded", settings = %in_force),
             Err(error) => tracing::error!(event = "reload_refused", %error),
         });
-        match started {
+        match spawned {
             Ok(reloading) => self.reloading = Some(reloading),
             Err(error) => tracing::error!(event = "reload_refused", %error),
         }
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,4 +1,4 @@
-//! Units that must not be mixed up: tokens of money, offsets of the log, milliseconds of a clock.
+//! Newtypes for quantities that must not be confused: tokens of a budget, offsets of the log, milliseconds.
 
 use std::fmt;
 use std::iter::Sum;
@@ -15,10 +15,10 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The unit's zero.
+            /// Zero.
             pub const ZERO: Self = Self(0);
 
-            /// Difference, at least zero.
+            /// The difference, or zero if `other` is greater.
             pub fn saturating_sub(self, other: Self) -> Self {
                 Self(self.0.saturating_sub(other.0))
             }
@@ -65,20 +65,20 @@
 }
 
 unit!(
-    /// Tokens of a prepaid budget, after the class price.
+    /// Tokens of a prepaid budget, with the price of the class applied.
     Tokens
 );
 unit!(
-    /// Position of an append in a stream of the log; the first is 1, so 0 means "before all".
+    /// Position of an append in a stream of the log; the first is 1, so 0 means "before the first".
     Offset
 );
 unit!(
-    /// Milliseconds of a process's monotonic clock, or a span of them.
+    /// A time in milliseconds of a clock, or a duration.
     Millis
 );
 
 impl Tokens {
-    /// The cost of so many tokens at a price in thousandths, rounded up.
+    /// The cost of these tokens at a price in thousandths, rounded up.
     pub fn priced(self, permille: u32) -> Self {
         let cost = (u128::from(self.0) * u128::from(permille)).div_ceil(1_000);
         Self(u64::try_from(cost).unwrap_or(u64::MAX))
--- a/src/util.rs
+++ b/src/util.rs
@@ -1,4 +1,4 @@
-//! The little that several modules need: encoding, hashing of secrets, and text of names.
+//! Helpers shared by several modules: binary encoding, hashing of secrets, and validation of names.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -8,19 +8,19 @@
 /// Longest name of a customer, class, budget or target, in bytes.
 pub const NAME_MAX: usize = 64;
 
-/// Encodes a value of ours.
+/// Encodes a value in the binary form that is stored and sent between processes.
 pub fn encode<T: Serialize>(value: &T) -> Vec<u8> {
     bincode::serde::encode_to_vec(value, bincode::config::standard())
-        .expect("our types always encode")
+        .expect("serializable types always encode")
 }
 
-/// Decodes a value; `None` where the bytes are not a whole one.
+/// Decodes a value; `None` if the bytes are not exactly one encoded value.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
     let (value, rest) = decode_first(bytes)?;
     rest.is_empty().then_some(value)
 }
 
-/// Decodes the value that some bytes begin with, and returns the bytes after it.
+/// Decodes the value at the start of the bytes, and returns it with the bytes after it.
 pub fn decode_first<T: DeserializeOwned>(bytes: &[u8]) -> Option<(T, &[u8])> {
     let config = bincode::config::standard().with_limit::<{ 64 << 20 }>();
     let (value, used) = bincode::serde::decode_from_slice(bytes, config).ok()?;
@@ -45,7 +45,7 @@
         .into()
 }
 
-/// Whether a name is 1 to 64 of `a-z`, `A-Z`, `0-9`, `-`, `_` and `.`.
+/// Whether a name consists of 1 to 64 of `a-z`, `A-Z`, `0-9`, `-`, `_` and `.`.
 pub fn is_name(text: &str) -> bool {
     let allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_' | b'.');
     !text.is_empty() && text.len() <= NAME_MAX && text.bytes().all(allowed)
--- a/src/wall_clock.rs
+++ b/src/wall_clock.rs
@@ -1,13 +1,13 @@
-//! The host's time of day, which somebody may set at any moment.
+//! The host's wall clock, which can be set at any time.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use crate::units::Millis;
 
-/// The time of day in milliseconds since 1970; `None` before that, which is logged.
+/// Milliseconds since the Unix epoch; `None` if the clock is set before it, which is logged.
 pub fn now() -> Option<Millis> {
     match SystemTime::now().duration_since(UNIX_EPOCH) {
-        Ok(since) => Some(Millis(since.as_millis() as u64)),
+        Ok(elapsed) => Some(Millis(elapsed.as_millis() as u64)),
         Err(error) => {
             tracing::warn!(event = "time_of_day_unusable", %error);
             None
