--- a/src/cmd/mod.rs
+++ b/src/cmd/mod.rs
@@ -20,7 +20,7 @@
 use snafu::Snafu;
 
 use crate::gateway::dialect::Dialect;
-use crate::signals::{Reload, Signals, hold_hangup};
+use crate::signals::{Reload, Signals, ignore_hangup};
 use crate::store::Store;
 
 const ABOUT: &str = "lanedeck: a router fleet for prepaid token budgets
@@ -159,7 +159,7 @@
 pub fn run(args: &[String], adapter: &Adapter) -> Result<()> {
     let name = args.first().map_or("", String::as_str);
     if matches!(name, "router" | "gateway") {
-        hold_hangup().map_err(signals_failed)?;
+        ignore_hangup().map_err(signals_failed)?;
     }
     let parsed = parse(args, adapter)?;
     if parsed.version {
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -76,7 +76,7 @@
 /// # Errors
 /// The system's, about the listener of its link.
 pub async fn run(mut options: Options) -> std::io::Result<()> {
-    crate::panics::end_with(control::THREAD);
+    crate::panics::install_abort_hook(control::THREAD);
     let (sender, messages) = mpsc::unbounded_channel();
     let shared = Arc::new(Shared::default());
     shared.set_caller_addresses(vec![options.settings.me.front]);
--- a/src/panics.rs
+++ b/src/panics.rs
@@ -12,7 +12,7 @@
 
 /// Installs a hook that logs each panic, and aborts the process after one in the thread of this name, even if a task
 /// on the thread catches it.
-pub fn end_with(thread: &'static str) {
+pub fn install_abort_hook(thread: &'static str) {
     let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
         previous_hook(info);
--- a/src/signals.rs
+++ b/src/signals.rs
@@ -1,7 +1,7 @@
 //! Signal handling of a serving process: SIGTERM and SIGINT stop it, SIGHUP reloads its settings.
 //!
 //! The handlers are installed when [`Signals::new`] returns. Before that, each signal terminates the process, except
-//! for SIGHUP once [`hold_hangup`] has returned.
+//! for SIGHUP once [`ignore_hangup`] has returned.
 
 use std::io;
 use std::sync::Arc;
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// The system's error if the handler cannot be installed.
-pub fn hold_hangup() -> io::Result<()> {
+pub fn ignore_hangup() -> io::Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/tests/control_panic.rs
+++ b/tests/control_panic.rs
@@ -26,7 +26,7 @@
     let Ok(name) = std::env::var(THREAD_VARIABLE) else {
         return;
     };
-    panics::end_with(ESSENTIAL_THREAD);
+    panics::install_abort_hook(ESSENTIAL_THREAD);
     let thread = thread::Builder::new().name(name);
     let result = thread.spawn(|| panic!("a fault")).unwrap().join();
     assert!(result.is_err());
