--- a/tests/fleet/mod.rs
+++ b/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Routers of a fleet, as others know them, and what they send together.
+//! Member entries of a fleet, and a helper that counts sends within a window.
 #![allow(dead_code)]
 
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
 pub const NOW: Millis = Millis(1_000_000);
 pub const HEARTBEAT: Millis = Millis(1_200);
 
-/// A router that takes callers, with addresses of its own.
+/// The entry of a router that is ready, with addresses derived from its number.
 pub fn router(number: u16) -> Router {
     let address = |port: u16| SocketAddr::from(([127, 0, 0, 1], port));
     Router {
@@ -23,7 +23,8 @@
     }
 }
 
-/// A router that has known these others for a while.
+/// The members as router `me` sees them: it wrote its own entry long before [`NOW`], and read the entries of these
+/// others from the store at `NOW`.
 pub fn members(me: u16, known: impl Iterator<Item = u16>) -> Members {
     let mut members = Members::new(router(me), HEARTBEAT);
     members.note_written(Millis::ZERO);
@@ -33,13 +34,17 @@
     members
 }
 
-/// Most of these times within any such span.
-pub fn most_within(times: &[Millis], span: Millis) -> usize {
-    let within = |begin: Millis| {
+/// The largest number of these times within any window of this length.
+pub fn most_within(times: &[Millis], window: Millis) -> usize {
+    let count_from = |begin: Millis| {
         let times = times.iter();
         times
-            .filter(|at| **at >= begin && **at < begin + span)
+            .filter(|at| **at >= begin && **at < begin + window)
             .count()
     };
-    times.iter().map(|begin| within(*begin)).max().unwrap_or(0)
+    times
+        .iter()
+        .map(|begin| count_from(*begin))
+        .max()
+        .unwrap_or(0)
 }
--- a/tests/listed/mod.rs
+++ b/tests/listed/mod.rs
@@ -1,10 +1,10 @@
-//! Targets as the list tells of them, and the blocks of prompts that they cache.
+//! Target entries as the listing reports them, and blocks of the prompts that targets cache.
 #![allow(dead_code)]
 
 use lanedeck::gateway::dialect::{Block, Listing};
 use lanedeck::units::Tokens;
 
-/// A target that takes requests, with an address of its own.
+/// The entry of a target that is ready, with an address derived from its number.
 pub fn listing(number: u16) -> Listing {
     Listing {
         instance: format!("i-{number}"),
@@ -16,7 +16,7 @@
     }
 }
 
-/// A block of a prompt.
+/// A block of a prompt with its length in tokens.
 pub fn block(id: u64, tokens: u64) -> Block {
     Block {
         id,
--- a/tests/pins/mod.rs
+++ b/tests/pins/mod.rs
@@ -1,4 +1,4 @@
-//! How values and settings are compared with the literals that pin them.
+//! Comparison of encoded values and command options with the literals that pin them.
 
 use std::fmt::Write as _;
 use std::process::Command;
@@ -15,17 +15,21 @@
     text
 }
 
-/// The value's bytes are these, and these bytes are read as a value of the same bytes.
+/// Asserts that the value encodes to these bytes, and that the bytes decode to a value with the same encoding.
 #[track_caller]
 pub fn pin<T: Serialize + DeserializeOwned>(literal: &str, value: &T) {
     let bytes = util::encode(value);
     let name = std::any::type_name::<T>();
     assert_eq!(hex(&bytes), literal, "bytes of {name}");
-    let read: T = util::decode(&bytes).expect("what is written can be read");
-    assert_eq!(hex(&util::encode(&read)), literal, "read again: {name}");
+    let decoded: T = util::decode(&bytes).expect("encoded values can be decoded");
+    assert_eq!(
+        hex(&util::encode(&decoded)),
+        literal,
+        "bytes of {name} after decoding"
+    );
 }
 
-/// Options of a command as its help lists them: flag, form and default.
+/// The options of a command as its help lists them: flag, value placeholder and default.
 pub fn options(command: &str) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_lanedeck"))
         .args([command, "--help"])
@@ -44,10 +48,12 @@
         .iter()
         .position(|word| word.starts_with("--"))
         .unwrap();
-    let form = words.get(flag + 1).copied().unwrap_or_default();
-    let is_form = form.chars().all(|c| c.is_ascii_uppercase() || c == ':');
-    let form = if is_form { form } else { "" };
+    let placeholder = words.get(flag + 1).copied().unwrap_or_default();
+    let is_placeholder = placeholder
+        .chars()
+        .all(|c| c.is_ascii_uppercase() || c == ':');
+    let placeholder = if is_placeholder { placeholder } else { "" };
     let default = line.rsplit_once("(default: ");
     let default = default.map_or("", |(_, text)| text.trim_end_matches(')'));
-    format!("{} {form} {default}", words[flag])
+    format!("{} {placeholder} {default}", words[flag])
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The command line, and the settings behind it.
+//! Parsing and validation of the command line and the settings.
 
 mod common;
 
@@ -18,7 +18,7 @@
     ]);
     let text = text(&output);
     assert_eq!(output.status.code(), Some(2));
-    for wrong in [
+    for option in [
         "--hall",
         "--queue",
         "--policy",
@@ -26,7 +26,7 @@
         "--operator-hash",
         "--fleet-key",
     ] {
-        assert!(text.contains(wrong), "{wrong} is not told: {text}");
+        assert!(text.contains(option), "{option} is not reported: {text}");
     }
     assert!(text.contains("a whole number from 1 to 65536"), "{text}");
 }
