--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -62,7 +62,7 @@
     End {
         /// The request.
         job: JobKey,
-        /// How it ended.
+        /// How the request ended.
         ending: Ending,
     },
     /// The process is stopping: callers must connect to other routers.
@@ -70,7 +70,7 @@
     /// No request runs any more: the control thread gives grants back, sends its last replies to other routers and
     /// closes the link to them.
     Close {
-        /// Signalled when that is done.
+        /// Signalled when the control thread has done so.
         done: oneshot::Sender<()>,
     },
 }
@@ -103,7 +103,7 @@
     /// Starts a request.
     ///
     /// # Errors
-    /// Why it cannot run.
+    /// Why the request cannot run.
     pub async fn begin(&self, job: Job, wait: Duration) -> Result<Attempt, Refusal> {
         let (reply, receiver) = oneshot::channel();
         self.send(Message::Begin { job, wait, reply });
--- a/src/gateway/clock.rs
+++ b/src/gateway/clock.rs
@@ -17,9 +17,10 @@
 /// Minimum number of hosts whose time of day must be known, this one included: if two differ, neither can be trusted
 /// over the other.
 const QUORUM_MIN: usize = 3;
-/// The required number in a fleet of sixteen or more routers; in a smaller fleet, three quarters of the routers must
-/// have reported theirs. If 28 of 100 hosts have the same wrong time, a random sample of twelve contains nine or more
-/// of them once in a thousand draws, and a sample of three contains two or more of them once in five.
+/// Required number of hosts whose time of day is known, in a fleet of sixteen or more routers; in a smaller fleet,
+/// three quarters of the routers must have reported theirs. If 28 of 100 hosts have the same wrong time, a random
+/// sample of twelve contains nine or more of them once in a thousand draws, and a sample of three contains two or more
+/// of them once in five.
 const QUORUM_MAX: usize = 12;
 /// Maximum difference from the median at which a time of day counts as agreeing, in milliseconds. Hosts that
 /// synchronize their time of day differ by far less, and any step that matters is longer.
--- a/src/gateway/control/loans.rs
+++ b/src/gateway/control/loans.rs
@@ -20,8 +20,8 @@
 
 /// Maximum number of routers asked for a loan, one after the other: half of the holders.
 const LENDERS_MAX: usize = 4;
-/// Maximum number of them that are chosen for holding the most tokens by the rows last read. The rest are chosen at
-/// random, since the rows are outdated while the store is lost.
+/// Maximum number of routers asked for a loan because they hold the most tokens by the rows last read. The other
+/// routers asked are chosen at random, since the rows are outdated while the store is lost.
 const RICHEST_MAX: usize = 2;
 /// How long a lender waits for a grant that covers a loan. A write to the store takes a few milliseconds; the borrower
 /// waits 400 ms for an answer and has other lenders to ask.
--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -20,8 +20,8 @@
 
 /// Maximum number of conditional appends tried in succession when other routers write first.
 const ATTEMPTS_MAX: u32 = 12;
-/// Longest pause after such a conflict, in milliseconds. The pause is random, so that the same routers do not collide
-/// again.
+/// Longest pause after an append that failed because another router had written first, in milliseconds. The pause is
+/// random, so that the same routers do not collide again.
 const CONFLICT_PAUSE_MS: u64 = 12;
 /// Separator between customer and router in a row's key.
 const SEPARATOR: char = '/';
@@ -77,7 +77,7 @@
 /// Which rows are written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// The rows that are worth a call to the store.
+    /// The rows whose change is worth a call to the store.
     Renew,
     /// All rows, with their unused tokens given back.
     GiveBack,
@@ -252,7 +252,7 @@
     }
 }
 
-/// Applies the rows that were read. They settle whether unanswered appends were applied.
+/// Applies the rows that were read, and finds out from them which unanswered appends were applied.
 fn apply_page(control: &Control, cursor: &mut Cursor, page: &Page) {
     let mut state = control.state.borrow_mut();
     let me = state.members.me.name.clone();
@@ -306,9 +306,9 @@
         .collect()
 }
 
-/// Settles rows whose append was not answered by comparing them with this router's own rows as read. Appends of an earlier
-/// era are not acknowledged: after a restore from a copy, the store's rows of this router may be older than those it
-/// acknowledged.
+/// Withdraws the rows of `settled`, and acknowledges those of them whose append was applied. An append was applied if
+/// `own`, this router's rows as read from the store, has the same row. Appends of an earlier era are not acknowledged:
+/// after a restore from a copy, the store's rows of this router may be older than those it acknowledged.
 fn settle(
     state: &mut State,
     now: Millis,
--- a/src/gateway/deadline.rs
+++ b/src/gateway/deadline.rs
@@ -1,4 +1,4 @@
-//! The deadline of a request: it expires when its caller waits no longer, or when the stopping process does not.
+//! The deadline of a request: it expires when the caller waits no longer, or when a stopping process gives up on it.
 //!
 //! Every wait on behalf of a request is bounded by its deadline. A request that a stop can wait for no longer is thus
 //! ended in the same way as a late one: with a response, not by closing its connection.
@@ -17,8 +17,9 @@
 pub struct Deadline {
     /// When the caller stops waiting, by the clock that timers use.
     at: Instant,
-    /// The same by the clock that also counts while the host sleeps: a caller on another host does not wait longer
-    /// because of the sleep, and the time limit sent to a target must not suggest that it does.
+    /// When the caller stops waiting, by the boot clock, which also counts while the host sleeps: a caller on another
+    /// host does not wait longer because of the sleep, and the time limit sent to a target must not suggest that it
+    /// does.
     at_boot: Millis,
     abort: CancellationToken,
 }
@@ -26,14 +27,15 @@
 /// Why the deadline of a request has expired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Expiry {
-    /// The caller waits no longer.
+    /// The deadline has passed: the caller waits no longer.
     Timeout,
-    /// The process is stopping and waits no longer.
+    /// The process is stopping and gives up on its requests.
     Stop,
 }
 
 impl Deadline {
-    /// Creates a deadline at `at`. It also expires when `abort` is cancelled: a stop does that once it waits no longer.
+    /// Creates a deadline at `at`. It also expires when `abort` is cancelled, as a stopping process does to give up on
+    /// its requests.
     pub fn new(at: Instant, abort: CancellationToken) -> Self {
         let left = at.saturating_duration_since(Instant::now());
         let at_boot = boot_clock::now() + Millis(left.as_millis() as u64);
--- a/src/gateway/decision/admission.rs
+++ b/src/gateway/decision/admission.rs
@@ -24,28 +24,28 @@
 /// The properties of a request that decide its admission.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
-    /// The host that it is addressed to.
+    /// The host that the request is addressed to.
     pub host: &'a str,
-    /// Its path.
+    /// The path of the request.
     pub path: &'a str,
     /// The customer's secret key.
     pub key: Option<&'a str>,
-    /// How long its caller waits for an answer.
+    /// How long the caller waits for an answer.
     pub time_limit: Option<Millis>,
 }
 
 /// The terms on which a request is admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct Terms<'a> {
-    /// Its route.
+    /// The route that matches the request.
     pub route: &'a Route,
-    /// Its customer; `None` if its key is missing or unknown.
+    /// The customer that the key belongs to; `None` if the key is missing or unknown.
     pub customer: Option<&'a Customer>,
     /// Rank in a target's queue; 0 goes first.
     pub rank: u8,
-    /// Longest time for its answer, from its arrival.
+    /// Longest time from the arrival of the request to its answer.
     pub time_limit: Millis,
-    /// Maximum number of tokens that one event of its stream may represent.
+    /// Maximum number of tokens that one event of the response stream may represent.
     pub event_tokens: u64,
 }
 
--- a/src/gateway/decision/grant.rs
+++ b/src/gateway/decision/grant.rs
@@ -72,7 +72,7 @@
 pub struct Sizing {
     /// Time span of demand that a grant in advance covers.
     pub horizon: Millis,
-    /// Nothing is granted in advance if the budget lasts no longer than this at the present demand.
+    /// Remaining time of the budget, at the present demand, up to which nothing is granted in advance.
     pub exact: Millis,
     /// Fraction of what is left beyond `exact` that all routers together may hold in advance, 0 to 1.
     pub share: f64,
@@ -208,9 +208,9 @@
 pub struct RowSummary {
     /// Tokens that the router may spend, in all.
     pub granted: Tokens,
-    /// Tokens that it has spent of them.
+    /// Tokens of the grant that the router has spent.
     pub spent: Tokens,
-    /// Tokens that its earlier processes have spent, or may have spent.
+    /// Tokens that earlier processes of the router have spent, or may have spent.
     pub spent_before: Tokens,
     /// The router's spending commitment, if the row has one.
     pub commitment: Option<CommitmentSummary>,
--- a/src/gateway/decision/limit.rs
+++ b/src/gateway/decision/limit.rs
@@ -39,7 +39,7 @@
 /// The inputs that decide whether one more request may be sent to a target with a rate limit.
 #[derive(Clone, Copy, Debug)]
 pub struct Usage {
-    /// The limit.
+    /// The rate limit of the target.
     pub limit: Rate,
     /// When this router learned of it.
     pub since: Millis,
@@ -54,9 +54,9 @@
 /// A request that was sent under a limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
-    /// When it was sent.
+    /// When the request was sent.
     pub at: Millis,
-    /// When the next one is due.
+    /// When the next request is due.
     pub next: Millis,
 }
 
--- a/src/gateway/decision/placement.rs
+++ b/src/gateway/decision/placement.rs
@@ -34,7 +34,7 @@
 const WAITING_TOKENS: f64 = 2_500.0;
 
 /// Weight of prefilling uncached shared blocks, relative to waiting behind the same number of tokens (dimensionless).
-/// It is above 1 because a cache miss also evicts other prompts' blocks.
+/// The weight is above 1 because a cache miss also evicts other prompts' blocks.
 const PREFILL_PENALTY: f64 = 2.0;
 
 /// A target that may be chosen, as this router knows it.
@@ -42,17 +42,17 @@
 pub struct Candidate {
     /// The target.
     pub key: TargetKey,
-    /// Number of requests that it runs concurrently.
+    /// Number of requests that the target runs concurrently.
     pub slots: u32,
-    /// Requests in progress there, as the target reports or as the routers count, whichever is higher.
+    /// Requests in progress at the target, as the target reports or as the routers count, whichever is higher.
     pub busy: f64,
-    /// Requests queued there, as the target reports.
+    /// Requests queued at the target, as it reports.
     pub waiting: u32,
-    /// Prompt tokens of all routers' requests to it that it has not answered yet.
+    /// Prompt tokens of all routers' requests that the target has not answered yet.
     pub backlog: u64,
-    /// Share of recent attempts at it that failed, 0 to 1.
+    /// Share of recent attempts at the target that failed, 0 to 1.
     pub failing: f64,
-    /// Whether it is in this router's hall.
+    /// Whether the target is in this router's hall.
     pub is_local: bool,
 }
 
@@ -67,9 +67,9 @@
 pub struct ModelCandidate {
     /// The target.
     pub target: Candidate,
-    /// Its rendezvous hash for the prompt's last shared block; the highest is preferred.
+    /// The rendezvous hash of the target for the prompt's last shared block; the highest is preferred.
     pub affinity: u64,
-    /// Tokens in the shared blocks that it is not known to have cached.
+    /// Tokens in the prompt's shared blocks that the target is not known to have cached.
     pub uncached: u64,
 }
 
--- a/src/gateway/decision/quarantine.rs
+++ b/src/gateway/decision/quarantine.rs
@@ -27,7 +27,7 @@
     pub instance: u64,
     /// When the request was sent to the target.
     pub sent: Millis,
-    /// When its connection broke.
+    /// When the connection to the target broke.
     pub at: Millis,
 }
 
--- a/src/gateway/decision/refusal.rs
+++ b/src/gateway/decision/refusal.rs
@@ -125,7 +125,7 @@
     Stopping,
     /// This router is overloaded and would answer late.
     Overloaded,
-    /// The control state refused it.
+    /// The control state refused the request.
     Refused(Refusal),
     /// The target refused the request and has not run it.
     TargetRefused,
@@ -133,7 +133,7 @@
     Unreachable,
     /// The request's deadline passed before anything was sent.
     Late,
-    /// The connection or the answer broke off after the request was sent; it may have run.
+    /// The connection or the answer broke off after the request was sent; the request may have run.
     BrokenOff,
     /// The request's deadline passed after it was sent; it may have run.
     TimedOut,
--- a/src/gateway/decision/retry.rs
+++ b/src/gateway/decision/retry.rs
@@ -52,18 +52,18 @@
 /// Whether the target may have run the request of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It has not run and never will.
+    /// The request has not run and never will.
     NotRun,
-    /// It may have run, or may run later.
+    /// The request may have run, or may run later.
     MayHaveRun,
 }
 
 /// Whether a retry is charged to the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Charge {
-    /// It is charged, since the failed attempt reached a target or may have.
+    /// The retry is charged, since the failed attempt reached a target or may have.
     Budget,
-    /// It is free, since the failed attempt reached no target.
+    /// The retry is free, since the failed attempt reached no target.
     Free,
 }
 
@@ -140,15 +140,15 @@
 /// The attempts of a request so far, including the one that has just failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct History {
-    /// The kind of its route, which says whether it may run twice.
+    /// The kind of the request's route, which says whether the request may run twice.
     pub kind: Kind,
-    /// Maximum number of attempts of its route.
+    /// Maximum number of attempts that the request's route allows.
     pub attempts_max: u32,
     /// Attempts that were sent to a target.
     pub sent: u32,
     /// Attempts that reached no target.
     pub unreached: u32,
-    /// Whether its deadline or that of a shutdown has passed.
+    /// Whether the request's deadline or that of a shutdown has passed.
     pub is_expired: bool,
 }
 
@@ -164,18 +164,18 @@
 /// The limit that ends a request's attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Limit {
-    /// It may have run, and its route does not allow it to run twice.
+    /// The request may have run, and its route does not allow it to run twice.
     NotRepeatable,
-    /// The maximum number of attempts of its route was sent.
+    /// The request was sent to as many targets as its route allows.
     Attempts,
     /// Connections to [`UNREACHED_MAX`] targets in a row failed.
     Unreached,
-    /// Its deadline or that of a shutdown has passed.
+    /// The request's deadline or that of a shutdown has passed.
     Time,
 }
 
 impl Limit {
-    /// Its name in logs.
+    /// The name of the limit in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NotRepeatable => "not_repeatable",
--- a/src/gateway/decision/share.rs
+++ b/src/gateway/decision/share.rs
@@ -15,7 +15,7 @@
 pub struct Allocation {
     /// Number of routers that may send.
     pub routers: usize,
-    /// Requests that each of them may send in the window.
+    /// Requests that each of these routers may send in the window.
     pub each: usize,
     /// Number of routers, from the start of the order, that may send one more.
     pub with_extra: usize,
--- a/src/gateway/escrow/account.rs
+++ b/src/gateway/escrow/account.rs
@@ -21,7 +21,7 @@
 pub enum ReserveError {
     /// The remainder of the whole budget does not cover the request.
     Exhausted,
-    /// This router's part does not cover the request; it may still receive more.
+    /// This router's part of the budget does not cover the request; the router may still receive more tokens.
     LocalShortage,
 }
 
@@ -48,7 +48,7 @@
     last_cost: Tokens,
     /// The row that the store has acknowledged.
     written: Option<Row>,
-    /// Limits that apply while the store may be restored from a copy; `None` if it is never restored from one.
+    /// Limits that apply while the store may be restored from a copy; `None` if the store is never restored from one.
     caps: Option<Caps>,
 }
 
@@ -158,7 +158,7 @@
     /// Reserves tokens for a request.
     ///
     /// # Errors
-    /// Why they cannot be reserved.
+    /// Why the tokens cannot be reserved.
     pub fn reserve(
         &mut self,
         now: Millis,
@@ -260,7 +260,7 @@
             spent: used,
             demand: match role {
                 Role::Holder => self.demand as u64,
-                // Counted at the routers that it borrows from.
+                // The demand of a borrower is counted at the routers that it borrows from.
                 Role::Borrower => 0,
             },
             commitment,
--- a/src/gateway/escrow/guard.rs
+++ b/src/gateway/escrow/guard.rs
@@ -58,18 +58,18 @@
 pub struct Ramp {
     /// When the limit begins to rise, by the clock of the router's host.
     pub begin: Millis,
-    /// The same by the time of day that the fleet's hosts agree on, if they do.
+    /// When the limit begins to rise, by the time of day that the fleet's hosts agree on, if they do.
     pub wall: Option<Millis>,
-    /// Tokens a second.
+    /// How fast the limit rises, in tokens a second.
     pub rate: u64,
 }
 
 /// A time at which a process had started, so that no earlier process of its name was alive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessStart {
-    /// By the steady clock, if its host has one.
+    /// The time on the steady clock of the process's host, if the host has one.
     pub boot: Option<Reading>,
-    /// By the time of day that the fleet's hosts agree on, if they do.
+    /// The same instant as a time of day that the fleet's hosts agree on, if they do.
     pub wall: Option<Millis>,
 }
 
--- a/src/gateway/escrow/holder.rs
+++ b/src/gateway/escrow/holder.rs
@@ -40,9 +40,9 @@
 /// Estimate of what an earlier process of the router may have spent.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Predecessor {
-    /// Its last row.
+    /// The last row of that process.
     pub(super) row: Row,
-    /// Tokens that count as spent, including those of the processes before it.
+    /// Tokens that count as spent, including those of the processes before that one.
     pub(super) counted: Tokens,
     /// Whether no later estimate can be better: the fleet's time of day was known, or the cap decided.
     pub(super) is_final: bool,
--- a/src/gateway/escrow/row.rs
+++ b/src/gateway/escrow/row.rs
@@ -16,7 +16,7 @@
 pub struct Loan {
     /// Tokens that requests wait for and that the borrower lacks.
     pub lacking: Tokens,
-    /// Those, plus one second of its demand.
+    /// Tokens that the borrower lacks, plus one second of its demand.
     pub wanted: Tokens,
 }
 
@@ -29,7 +29,7 @@
     pub spent_before: Tokens,
     /// Tokens that this process may spend, in all.
     pub granted: Tokens,
-    /// Tokens that it had spent when it wrote the row.
+    /// Tokens that this process had spent when it wrote the row.
     pub spent: Tokens,
     /// Demand at the router, in tokens a second.
     pub demand: u64,
@@ -81,18 +81,18 @@
         Some(row)
     }
 
-    /// Tokens that its process may spend, in all, by `at` of its host's clock.
+    /// Tokens that the process that wrote the row may spend, in all, by `at` of its host's clock.
     pub(super) fn limit(&self, at: Millis) -> Tokens {
         self.granted_up_to(self.commitment.and_then(|commitment| commitment.limit(at)))
     }
 
-    /// Tokens that its process held beyond those it had spent.
+    /// Tokens that the process that wrote the row held beyond those it had spent.
     pub fn unspent(&self) -> Tokens {
         self.granted.saturating_sub(self.spent)
     }
 
-    /// Tokens that count as allocated to its router in the store's era: more than were granted if the store may have
-    /// lost a later row of the router.
+    /// Tokens that count as allocated to the router of the row in the store's era: more than were granted if the store
+    /// may have lost a later row of the router.
     fn allocated(&self, era: Era) -> Tokens {
         let granted = self.spent_before + self.granted;
         match self.earlier_era_cap(era) {
--- a/src/gateway/evacuation.rs
+++ b/src/gateway/evacuation.rs
@@ -1,10 +1,10 @@
 //! Halls that the operators have evacuated: their targets get no requests until the evacuation is revoked.
 //!
 //! The operators' records are in the store, next to the configuration, one for each hall. A router that reads them
-//! knows all of them as of one position in that log, so of two views the one with the later position is valid. Routers
-//! that the store does not answer use the view of a router that it does answer. A view persists through outages of the
-//! store and after the log has dropped records. A process that starts has no view, and serves no requests until it has
-//! one.
+//! knows all of them as of one position in the log of the store, so of two views the one with the later
+//! position is valid. Routers that the store does not answer use the view of a router that it does answer. A view
+//! persists through outages of the store and after the log of the store has dropped records. A process that starts has
+//! no view, and serves no requests until it has one.
 
 use std::collections::BTreeSet;
 
@@ -61,7 +61,7 @@
 }
 
 impl RetainedHalls {
-    /// How long they stay evacuated without a new record. Operators rewrite lost records within seconds.
+    /// How long these halls stay evacuated without a new record. Operators rewrite lost records within seconds.
     const RETENTION: Millis = Millis(10_000);
 
     /// Records that the store was restored: the halls that were evacuated `before` but not in the `copy` are retained.
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -45,7 +45,7 @@
     pub(super) request: dialect::Request,
     pub(super) started: Instant,
     pub(super) deadline: Deadline,
-    /// Maximum number of tokens that one event of its stream stands for.
+    /// Maximum number of tokens that one event of the response stream represents.
     pub(super) event_tokens: u64,
     pub(super) customer: Option<String>,
     pub(super) rank: u8,
@@ -88,7 +88,7 @@
 }
 
 impl BufferedResponse {
-    /// Whether its status is a server error (5xx).
+    /// Whether the status of the response is a server error (5xx).
     pub(super) fn is_server_error(&self) -> bool {
         self.parts.status.is_server_error()
     }
@@ -283,7 +283,7 @@
     /// Starts another attempt after one that failed.
     ///
     /// # Errors
-    /// What the caller is told if there is none.
+    /// The reason given to the caller if there is no other attempt.
     pub(super) async fn retry(&mut self, failed: FailedAttempt) -> Result<Attempt, Reason> {
         let failure = failed.failure;
         if failure.verdict() == Verdict::MayHaveRun {
--- a/src/gateway/job.rs
+++ b/src/gateway/job.rs
@@ -51,17 +51,17 @@
 /// router has delivered is not charged, whether or not a target has run the request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Delivery {
-    /// Nothing.
+    /// No part of the response was delivered; nothing is charged.
     #[default]
     Nothing,
-    /// The complete response, with its number of tokens; the tokens of the prompt are charged as well.
+    /// The complete response was delivered, with its number of tokens; the tokens of the prompt are charged as well.
     Counted(Tokens),
-    /// A part of unknown length; the maximum cost of the request is charged.
+    /// A part of unknown length was delivered; the maximum cost of the request is charged.
     Uncounted,
 }
 
 impl Delivery {
-    /// Its name in logs.
+    /// The name of the delivery in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Nothing => "nothing",
--- a/src/gateway/members.rs
+++ b/src/gateway/members.rs
@@ -49,7 +49,7 @@
 struct Member {
     router: Router,
     last_heartbeat: Millis,
-    /// Whether its link has failed to answer since the last heartbeat.
+    /// Whether the link to the router has failed to answer since the router's last heartbeat.
     is_unreachable: bool,
 }
 
--- a/src/gateway/notice/mod.rs
+++ b/src/gateway/notice/mod.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Snafu)]
 #[snafu(display("{per_second} is not a valid rate"))]
 pub struct BadRate {
-    /// The number.
+    /// The rejected number of requests per second.
     pub per_second: f64,
 }
 
@@ -49,9 +49,9 @@
 /// What the headers of a response announce about the target that sent it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Notice {
-    /// Its rate limit; a response without one ends the previous limit.
+    /// The rate limit of the target; a response without one ends the previous limit.
     pub rate_limit: Result<Option<Rate>, BadNotice>,
-    /// Whether it leaves: it completes the requests that it has, then exits.
+    /// Whether the target leaves: it completes the requests that it has, then exits.
     pub is_leaving: Result<bool, BadNotice>,
     /// The `Retry-After` of a refusal: how long the router whose request was refused should send no requests.
     pub retry_after: Result<Option<Millis>, BadNotice>,
@@ -111,21 +111,21 @@
 pub struct Report {
     /// Hash of the target's instance.
     pub instance: u64,
-    /// What it announced.
+    /// What the target announced.
     pub announcement: Announcement,
 }
 
 /// One thing that a target announces of itself in a response header.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Announcement {
-    /// Its rate limit, or the end of its limit.
+    /// The rate limit of the target, or the end of its previous limit.
     RateLimit {
         /// Revision of the change, across all routers.
         revision: u32,
-        /// The limit.
+        /// The new limit; `None` if the limit has ended.
         limit: Option<Rate>,
     },
-    /// It leaves; ends with its incarnation.
+    /// The target leaves. The announcement holds until the incarnation of the target ends.
     Leaving,
 }
 
--- a/src/gateway/notice/said.rs
+++ b/src/gateway/notice/said.rs
@@ -9,13 +9,13 @@
 /// What a target currently announces.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AnnouncedState {
-    /// Its instance.
+    /// The instance of the target.
     pub instance: String,
-    /// Its rate limit.
+    /// The rate limit of the target; `None` if it announces none.
     pub rate_limit: Option<Rate>,
-    /// Whether it leaves.
+    /// Whether the target leaves.
     pub is_leaving: bool,
-    /// Remaining time, as of publication, for which it asked this router to send no requests.
+    /// Remaining time, as of publication, for which the target asked this router to send no requests.
     pub backoff_left: Millis,
 }
 
--- a/src/gateway/process.rs
+++ b/src/gateway/process.rs
@@ -32,15 +32,15 @@
 /// Interval at which pooled connections to removed targets are closed.
 const POOL_CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The listeners of a gateway, except that of its link.
+/// The listeners of a gateway, except the one for the links of other routers.
 pub struct Listeners {
-    /// For callers' requests.
+    /// Listener for callers' requests.
     pub callers: TcpListener,
-    /// For readiness checks.
+    /// Listener for readiness checks.
     pub ready: TcpListener,
-    /// For address queries.
+    /// Listener for address queries.
     pub directory: TcpListener,
-    /// For metrics.
+    /// Listener for reads of the metrics.
     pub metrics: TcpListener,
 }
 
--- a/src/gateway/quarantine/held.rs
+++ b/src/gateway/quarantine/held.rs
@@ -11,7 +11,7 @@
 pub struct QuarantinedRequest {
     /// The request.
     pub fingerprint: Fingerprint,
-    /// The number of crashes that it is quarantined for.
+    /// The number of crashes that the request is quarantined for.
     pub crashes: usize,
     /// When the quarantine ends.
     pub until: Instant,
--- a/src/gateway/quarantine/mod.rs
+++ b/src/gateway/quarantine/mod.rs
@@ -32,7 +32,7 @@
 /// How long after an attempt broke off the crash of its target may still be detected: a target that restarts under its
 /// id is back within seconds, and its entry is read every half second.
 const CONFIRMATION_WINDOW: Millis = Millis(5_000);
-/// Maximum number of attempts that broke off, and of crashed targets, that are kept for that time.
+/// Maximum number of attempts that broke off, and of crashed targets, that are kept for [`CONFIRMATION_WINDOW`].
 const UNCONFIRMED_MAX: usize = 256;
 /// Number of gossip rounds in which a change is reported. Each round reaches three routers. If all routers do the same,
 /// one in ten thousand gets none of the nine messages; it reads the change from the store.
@@ -51,7 +51,7 @@
     pub fingerprint: Fingerprint,
     /// Hash of the target's instance.
     pub instance: u64,
-    /// When it was sent to the target.
+    /// When the request was sent to the target.
     pub sent: Millis,
 }
 
@@ -74,9 +74,9 @@
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     crashes: Vec<Crash>,
-    /// When it succeeded; its crashes are then not attributed to it.
+    /// When the request last succeeded; its crashes are then not attributed to it.
     answered: Option<Millis>,
-    /// Whether this router has seen one of its crashes itself.
+    /// Whether this router has seen one of the request's crashes itself.
     has_own_crash: bool,
     /// Gossip rounds in which the last change has been reported.
     rounds_reported: u32,
--- a/src/gateway/quarantine/report.rs
+++ b/src/gateway/quarantine/report.rs
@@ -25,12 +25,13 @@
     pub fingerprint: Fingerprint,
     /// The crashes, oldest first.
     pub crashes: Vec<Crash>,
-    /// How long ago it succeeded, if it did.
+    /// How long ago the request succeeded, if it did.
     pub answered_ago: Option<Millis>,
 }
 
 impl Report {
-    /// The same report, `age` later. Ages come from other processes and are not trusted, so additions saturate.
+    /// Returns this report with all of its ages increased by `age`. Ages come from other processes and are not
+    /// trusted, so additions saturate.
     pub fn aged(&self, age: Millis) -> Self {
         let later = |ago: Millis| Millis(ago.0.saturating_add(age.0));
         let crashes = self.crashes.iter().map(|crash| Crash {
--- a/src/gateway/route/config.rs
+++ b/src/gateway/route/config.rs
@@ -28,11 +28,11 @@
 /// Whether and how requests of a route may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// May run more than once.
+    /// A request may run more than once.
     Repeatable,
-    /// Runs at most once.
+    /// A request runs at most once.
     Once,
-    /// Answers with a stream of events and runs at most once, unless the stream is resumable.
+    /// A request is answered with a stream of events, and runs at most once unless the stream is resumable.
     Stream {
         /// Whether another target may continue the stream after the last event that was forwarded.
         resumable: bool,
@@ -56,22 +56,22 @@
 pub struct Backend {
     /// The service.
     pub service: ServiceKey,
-    /// Its weight, relative to the other weights of the route.
+    /// The weight of the service, relative to the other weights of the route.
     pub weight: f64,
 }
 
 /// Settings for requests to one host whose paths start with one prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Its name.
+    /// The name of the route.
     pub name: String,
-    /// The host it belongs to.
+    /// The host that requests are addressed to.
     pub host: String,
     /// The prefix of the path.
     pub prefix: String,
     /// The services, at least one.
     pub backends: Vec<Backend>,
-    /// Whether and how its requests may be repeated.
+    /// Whether and how requests of the route may be repeated.
     pub kind: Kind,
     /// Longest time until a request is answered or given up.
     pub timeout: Millis,
@@ -79,7 +79,7 @@
     pub latency_objective: Millis,
     /// Maximum number of targets that one request may be sent to, at least 1.
     pub attempts: u32,
-    /// Rank of its requests; 0 goes first.
+    /// Rank of the requests in a target's queue; 0 goes first.
     pub rank: u8,
     /// Whether requests need no key.
     pub public: bool,
@@ -106,26 +106,26 @@
 /// Targets that do the same work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name.
+    /// The name of the service.
     pub name: String,
     /// Number of connections that one of its targets accepts from all routers together. Not enforced.
     pub connections: u32,
-    /// Set if its targets are model engines.
+    /// Set if the targets are model engines.
     pub engine: Option<Engine>,
-    /// Set if its targets are cold after they start.
+    /// Set if the targets are cold after they start.
     pub cold_start: Option<ColdStart>,
 }
 
 /// An account that requests are charged to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Customer {
-    /// Its name.
+    /// The name of the customer.
     pub name: String,
-    /// The secret keys that authenticate it.
+    /// The secret keys that authenticate the customer.
     pub keys: Vec<String>,
-    /// Its rank, which takes precedence over that of a route.
+    /// The rank of the customer's requests, which takes precedence over that of a route.
     pub rank: Option<u8>,
-    /// Its prepaid budget; `None` is unlimited.
+    /// The prepaid budget of the customer; `None` is unlimited.
     pub prepaid: Option<Tokens>,
 }
 
--- a/src/gateway/serve.rs
+++ b/src/gateway/serve.rs
@@ -43,7 +43,7 @@
     }
 
     /// Logs that a request has headers that only routers may set and that are not forwarded. Logs once per connection,
-    /// so that a caller that always sends them does not fill the log.
+    /// so that a caller that always sends them does not flood the router's log output.
     fn log_router_headers(&self, id: &str) {
         if !self.router_headers_logged.swap(true, Ordering::Relaxed) {
             tracing::warn!(event = "orders_dropped", %id);
--- a/src/gateway/state/mod.rs
+++ b/src/gateway/state/mod.rs
@@ -47,7 +47,7 @@
 #[derive(Debug)]
 struct Running {
     job: Job,
-    /// The service that was chosen for it.
+    /// The service that was chosen for the request.
     service: String,
     tried: Vec<TargetKey>,
     /// The target of the current attempt.
--- a/src/gateway/state/money.rs
+++ b/src/gateway/state/money.rs
@@ -16,9 +16,9 @@
 /// Which borrowed tokens are given back to the routers that hold a customer's grants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Remainder {
-    /// Those beyond one second of demand, if there are enough of them to be worth a message.
+    /// The borrowed tokens beyond one second of demand, if there are enough of them to be worth a message.
     WorthSending,
-    /// All unused ones.
+    /// All unused borrowed tokens.
     All,
 }
 
@@ -91,8 +91,8 @@
     }
 
     /// The rows that are worth writing now, for the customers that `includes` selects. `waiting` has the tokens that
-    /// requests wait for. The ledgers must be up to date with the place that the rows are written at, which is in this
-    /// era.
+    /// requests wait for. The ledgers must be up to date with the place that the rows are written at, which is in
+    /// `era`.
     pub fn rows(
         &mut self,
         now: Millis,
--- a/src/gateway/targets/notices.rs
+++ b/src/gateway/targets/notices.rs
@@ -142,7 +142,7 @@
 pub struct Barred {
     /// The targets.
     pub targets: Vec<TargetKey>,
-    /// When the first of them accepts requests again, if known.
+    /// When the first of these targets accepts requests again, if known.
     pub until: Option<Millis>,
 }
 
--- a/src/gateway/targets/outstanding.rs
+++ b/src/gateway/targets/outstanding.rs
@@ -12,7 +12,7 @@
     pub instance: u64,
     /// Requests in flight at the target.
     pub in_flight: u32,
-    /// Prompt tokens of those whose responses have not begun.
+    /// Prompt tokens of the requests in flight whose responses have not begun.
     pub backlog: u64,
     /// Decaying count of failed attempts.
     pub failed: f32,
--- a/src/gateway/targets/registry.rs
+++ b/src/gateway/targets/registry.rs
@@ -40,7 +40,7 @@
     pub(super) by_hash: HashMap<u64, TargetKey>,
     pub(super) by_service: HashMap<String, Vec<TargetKey>>,
     pub(super) cache: Cache,
-    /// Instances recently removed from the list, and when.
+    /// Instances recently removed from the list, with the times of removal.
     removed: HashMap<String, Millis>,
     /// Halls whose targets get no requests.
     pub(super) evacuated: BTreeSet<String>,
@@ -51,9 +51,9 @@
 /// Whether a list entry may be older than the known state of its target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// It is the newest entry of its target.
+    /// The entry is the newest of its target.
     Newest,
-    /// It may be older.
+    /// The entry may be older than the known state.
     MayBeOld,
 }
 
@@ -67,9 +67,9 @@
         /// The former incarnation.
         former: TargetKey,
     },
-    /// It no longer accepts requests.
+    /// The target no longer accepts requests.
     Leaving,
-    /// It accepts requests again.
+    /// The target accepts requests again.
     Returned,
     /// No relevant change.
     Same,
@@ -352,7 +352,8 @@
         }
     }
 
-    /// This router's outstanding requests, for the other routers. Bounded to the targets with most of them.
+    /// This router's outstanding requests, as reported to the other routers: those at the targets with most of them, at
+    /// most `OUTSTANDING_MAX` targets.
     pub fn outstanding(&self, now: Millis) -> Vec<Outstanding> {
         let reported = self.known().filter_map(|target| {
             let attempts = target.attempts.at(now);
--- a/src/gateway/targets/target.rs
+++ b/src/gateway/targets/target.rs
@@ -19,13 +19,13 @@
 /// One incarnation of a target.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its entry, as last read.
+    /// The target's entry in the list, as last read.
     pub listing: Listing,
-    /// This router's requests in flight there.
+    /// Number of this router's requests in flight at the target.
     pub in_flight: u32,
-    /// Prompt tokens of those whose responses have not begun.
+    /// Prompt tokens of this router's requests in flight whose responses have not begun.
     pub backlog: u64,
-    /// The sums of the other routers' reports.
+    /// The sums of the other routers' reports about the target.
     pub others: Outstanding,
     /// Cancelled once the incarnation is known to have ended.
     pub ended: CancellationToken,
@@ -34,16 +34,16 @@
     pub(super) health: Health,
     pub(super) attempts: Attempts,
     pub(super) warmup: Warmup,
-    /// The rate limit that it announces.
+    /// The rate limit that the target announces.
     pub(super) limit: Limit,
-    /// Until when it asked this router to send no requests.
+    /// Until when the target asked this router to send no requests.
     pub(super) backoff_until: Millis,
-    /// Whether a response announced that it leaves, which its entry may show much later.
+    /// Whether a response announced that the target leaves, which its entry may show much later.
     pub(super) is_leaving: bool,
     pub(super) is_listed: bool,
-    /// Whether it is missing from the list that was last read, although it is not removed yet.
+    /// Whether the target is missing from the list that was last read, although it is not removed yet.
     pub(super) is_missing: bool,
-    /// Since when it is neither listed nor has requests.
+    /// Since when the target is neither listed nor has requests.
     pub(super) unused_since: Option<Millis>,
 }
 
@@ -69,28 +69,28 @@
         }
     }
 
-    /// Hash of its instance, which identifies it between routers.
+    /// Hash of the target's instance, which identifies the target between routers.
     pub fn hash(&self) -> u64 {
         hash(&self.listing.instance)
     }
 
-    /// Whether it accepts requests.
+    /// Whether the target accepts requests.
     pub fn accepts_requests(&self) -> bool {
         self.is_listed && !self.has_announced_leaving()
     }
 
-    /// Whether it has announced, in its entry or in a response, that it leaves, so its end is planned. A missing entry
-    /// is no such announcement, since entries also disappear some time after a crash.
+    /// Whether the target has announced, in its entry or in a response, that it leaves, so its end is planned. A
+    /// missing entry is no such announcement, since entries also disappear some time after a crash.
     pub fn has_announced_leaving(&self) -> bool {
         self.is_leaving || !self.listing.is_ready
     }
 
-    /// Whether it accepts requests according to its entry.
+    /// Whether the target accepts requests according to its entry.
     pub(super) fn is_listed_ready(&self) -> bool {
         self.is_listed && self.listing.is_ready
     }
 
-    /// Its last load report, if still valid.
+    /// The last load report of the target, if still valid.
     fn load(&self, now: Millis) -> Load {
         let recent = self
             .load
@@ -98,12 +98,12 @@
         recent.map_or(Load::default(), |(_, load)| load)
     }
 
-    /// Whether it has a free slot, according to both its own report and the routers' count.
+    /// Whether the target has a free slot, according to both its own report and the routers' count.
     pub(super) fn has_free_slot(&self, now: Millis) -> bool {
         self.busy(now) < f64::from(self.listing.slots)
     }
 
-    /// Its number of requests: the higher of its own report and the routers' count.
+    /// The number of requests at the target: the higher of its own report and the routers' count.
     fn busy(&self, now: Millis) -> f64 {
         let load = self.load(now);
         let counted = f64::from(self.in_flight + self.others.in_flight);
--- a/src/store/hedge.rs
+++ b/src/store/hedge.rs
@@ -12,7 +12,7 @@
 
 use super::CallError;
 
-/// Delay without an answer after which a read is sent again. The same delay detects an unresponsive store.
+/// Delay without an answer after which a read is sent again, and the store is reported as unresponsive.
 pub const HEDGE_AFTER: Duration = Duration::from_millis(600);
 /// Overall timeout of a hedged read.
 pub const ANSWER_MAX: Duration = Duration::from_secs(5);
--- a/src/wire/client.rs
+++ b/src/wire/client.rs
@@ -1,4 +1,4 @@
-//! The client side: one connection per peer, which is reopened after it has closed.
+//! The client side of the protocol between routers: one connection per peer, which is reopened after it has closed.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/wire/server.rs
+++ b/src/wire/server.rs
@@ -1,4 +1,4 @@
-//! The server side.
+//! The server side of the protocol between routers.
 
 use std::future::Future;
 use std::time::Duration;
