--- a/src/gateway/control/loans.rs
+++ b/src/gateway/control/loans.rs
@@ -22,7 +22,7 @@
 const LENDERS_MAX: usize = 4;
 /// Maximum number of routers asked for a loan because they hold the most tokens by the rows last read. The other
 /// routers asked are chosen at random, since the rows are outdated while the store is lost.
-const RICHEST_MAX: usize = 2;
+const LENDERS_BY_ROWS_MAX: usize = 2;
 /// How long a lender waits for a grant that covers a loan. A write to the store takes a few milliseconds; the borrower
 /// waits 400 ms for an answer and has other lenders to ask.
 const RENEWAL_WAIT: Duration = Duration::from_millis(50);
@@ -135,7 +135,7 @@
 fn lenders(control: &Control, customer: &str) -> Vec<Router> {
     let state = control.state.borrow();
     let (now, name) = (control.now(), &state.members.me.name);
-    let mut lenders = state.routers_with_most_unspent(now, customer, RICHEST_MAX);
+    let mut lenders = state.routers_with_most_unspent(now, customer, LENDERS_BY_ROWS_MAX);
     let is_known = |router: &Router| lenders.iter().any(|lender| lender.name == router.name);
     let others: Vec<&Router> = state
         .holders(now, customer)
--- a/src/gateway/control/rows.rs
+++ b/src/gateway/control/rows.rs
@@ -138,7 +138,7 @@
             let mut state = control.state.borrow_mut();
             take_settled(cursor, end);
             state.rows_acknowledged(control.now(), &rows);
-            state.rows_sent(&unsettled(cursor));
+            state.rows_sent(&unanswered_rows(cursor));
             drop(state);
             log_written(&rows, next);
             Ok(())
@@ -283,8 +283,8 @@
     }
     let settled = take_settled(cursor, page.next);
     if !settled.is_empty() {
-        settle(&mut state, control.now(), settled, &own, page.next.era);
-        state.rows_sent(&unsettled(cursor));
+        acknowledge_applied(&mut state, control.now(), settled, &own, page.next.era);
+        state.rows_sent(&unanswered_rows(cursor));
     }
 }
 
@@ -299,7 +299,7 @@
 
 /// Rows whose append may still be applied: a store that was restored from a copy may reach the place that they expect
 /// once more.
-fn unsettled(cursor: &Cursor) -> Vec<(String, Row)> {
+fn unanswered_rows(cursor: &Cursor) -> Vec<(String, Row)> {
     let unanswered = cursor.unanswered.iter();
     unanswered
         .map(|unanswered| (unanswered.customer.clone(), unanswered.row))
@@ -309,7 +309,7 @@
 /// Withdraws the rows of `settled`, and acknowledges those of them whose append was applied. An append was applied if
 /// `own`, this router's rows as read from the store, has the same row. Appends of an earlier era are not acknowledged:
 /// after a restore from a copy, the store's rows of this router may be older than those it acknowledged.
-fn settle(
+fn acknowledge_applied(
     state: &mut State,
     now: Millis,
     settled: Vec<Unanswered>,
