--- a/src/boot_clock.rs
+++ b/src/boot_clock.rs
@@ -1,7 +1,7 @@
 //! The host's boot-time clock, which is the same for all processes of one boot.
 //!
-//! It counts from the boot, also while the host is suspended, and cannot be set. A reading identifies its boot, since
-//! readings of different boots cannot be compared.
+//! The clock counts from the boot, also while the host is suspended, and cannot be set. A reading identifies its boot,
+//! since readings of different boots cannot be compared.
 
 use std::time::Duration;
 
--- a/src/cmd/demo.rs
+++ b/src/cmd/demo.rs
@@ -259,7 +259,7 @@
     print(&text)
 }
 
-/// Reads a budget from the ledger of the second router: unallotted, held, billed, in doubt, prepaid.
+/// Reads a budget's tokens from the ledger of the second router: unallotted, held, billed, in doubt, prepaid.
 async fn balance(fleet: &Fleet, name: &str) -> Result<[u64; 5]> {
     let status = fleet.operator.get(fleet.routers[1], "/v1/status").await?;
     let budgets = status["budgets"].as_array().cloned().unwrap_or_default();
--- a/src/cmd/load/tally.rs
+++ b/src/cmd/load/tally.rs
@@ -23,7 +23,7 @@
         self.records.iter().filter(|record| record.wrong).count()
     }
 
-    /// One JSON line per request.
+    /// Formats the records as JSON, one line per request.
     pub fn json_lines(&self) -> String {
         let lines = self
             .records
--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -234,7 +234,7 @@
     checked().ok_or_else(missing)
 }
 
-/// This router as it first announces itself to the others.
+/// This router's own entry, as it first announces itself to the others.
 fn initial_peer(entry: SocketAddr, address: SocketAddr, hall: String, region: String) -> Peer {
     Peer {
         incarnation: Incarnation(rand::rng().random()),
--- a/src/ejection.rs
+++ b/src/ejection.rs
@@ -27,12 +27,12 @@
 /// The outcome of an attempt at a target, as far as it reflects on the target's health.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It answered.
+    /// The target answered.
     Answered {
         /// Time from the start of the attempt to the end of the answer.
         took: Millis,
     },
-    /// It could not be reached, refused the request, broke off, or answered with an error.
+    /// The target could not be reached, refused the request, broke off, or answered with an error.
     Failed,
 }
 
@@ -83,7 +83,7 @@
         self.outcomes = 0;
     }
 
-    /// Whether it is ejected at `now`.
+    /// Whether the target is ejected at `now`.
     pub fn is_ejected(&self, now: Millis) -> bool {
         now < self.ejected_until
     }
--- a/src/router/budget/account.rs
+++ b/src/router/budget/account.rs
@@ -1,6 +1,10 @@
 //! One prepaid budget and the grants of its holders.
 //!
-//! Invariant at each offset: unallotted + held + settled + in doubt = prepaid.
+//! Invariant at each offset: unallotted + held + settled + in doubt = prepaid. Tokens are held while they are granted
+//! and neither billed nor returned, and settled once they are billed.
+//!
+//! A witness closes a holder that has been silent for too long, and then acknowledges nothing for it. A closed holder's
+//! request with an unknown outcome is in doubt: its reserved tokens count as spent until its bill is known.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -20,16 +24,16 @@
 /// The share of one incarnation in a budget. All fields are running totals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Grant {
-    /// Tokens granted to it.
+    /// Tokens granted to the incarnation.
     pub granted: Tokens,
-    /// Tokens that it has billed.
+    /// Tokens that the incarnation has billed.
     pub settled: Tokens,
-    /// Tokens that it has returned.
+    /// Tokens that the incarnation has returned to the budget.
     pub returned: Tokens,
 }
 
 impl Grant {
-    /// Tokens that it may still spend.
+    /// Tokens that the incarnation may still spend.
     pub fn held(&self) -> Tokens {
         self.granted
             .saturating_sub(self.settled)
@@ -72,12 +76,12 @@
     pub settled: Tokens,
     /// Grants by holder.
     pub grants: BTreeMap<Incarnation, Grant>,
-    /// Reserved tokens of closed holders' requests with an unknown outcome; they count as spent.
+    /// Reserved tokens of closed holders' requests with an unknown outcome, by holder and nonce; they count as spent.
     pub doubt: BTreeMap<(Incarnation, u64), Tokens>,
     /// Offset at which a grant was last smaller than asked for, or a reduction of the budget had to wait for returns;
     /// holders then return idle tokens.
     pub scarce: Option<Offset>,
-    /// Requests of closed holders that were in doubt and are billed now, with their bills.
+    /// Requests of closed holders that were in doubt and are billed now: holder, nonce and bill.
     resolved: VecDeque<(Incarnation, u64, Tokens)>,
 }
 
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -59,7 +59,7 @@
     /// Checks a plan against the present state, without applying it.
     ///
     /// # Errors
-    /// The reason why it would be refused.
+    /// The reason why the plan would be refused.
     pub fn validate(&self, plan: &Plan) -> Result<(), Refused> {
         for change in &plan.changes {
             match change {
--- a/src/router/budget/reservation.rs
+++ b/src/router/budget/reservation.rs
@@ -25,7 +25,7 @@
     pub request: Id,
     /// Address of the target.
     pub target: SocketAddr,
-    /// How it is billed.
+    /// How the request is billed.
     pub price: Price,
 }
 
--- a/src/router/budget/ward.rs
+++ b/src/router/budget/ward.rs
@@ -1,7 +1,7 @@
 //! A witness's replica of one holder: billed totals, and the requests that are open or were settled recently.
 //!
-//! It is also the wire format in which a holder sends its accounts to a new witness, and is encoded by position: the
-//! order of the fields must not change.
+//! The replica is also the wire format in which a holder sends its accounts to a new witness, and is encoded by
+//! position: the order of the fields must not change.
 
 use std::collections::BTreeMap;
 
@@ -16,11 +16,11 @@
 /// State of a request in a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It is dispatched, or about to be.
+    /// The request is dispatched, or about to be.
     Open(Reservation),
-    /// It was billed this much.
+    /// The request was billed this much.
     Settled(Tokens),
-    /// This other router has taken it over.
+    /// This other router has taken the request over.
     TakenOver(Incarnation),
 }
 
--- a/src/router/budget/witness.rs
+++ b/src/router/budget/witness.rs
@@ -36,20 +36,20 @@
 /// A witness's answer to a router that wants to take over a lost holder's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TakeoverAnswer {
-    /// It was never dispatched, and never will be: the asker may run it.
+    /// The request was never dispatched, and never will be: the asker may run it.
     Fresh,
-    /// It was dispatched and is not settled. If it is repeatable, the lost holder is billed nothing for it, and the
-    /// asker may run and bill it.
+    /// The request was dispatched and is not settled. If it is repeatable, the lost holder is billed nothing for it,
+    /// and the asker may run and bill it.
     Open,
-    /// It was billed this much already: the asker may run a repeatable request again at no charge.
+    /// The request was billed this much already: the asker may run it again, at no charge, if it is repeatable.
     Settled(Tokens),
-    /// The asker has taken it over before.
+    /// The asker has taken the request over before.
     Yours,
-    /// This other router has taken it over.
+    /// This other router has taken the request over.
     Other(Incarnation),
     /// The holder is not closed.
     Alive,
-    /// Its id is too old to decide.
+    /// The request's id is too old to decide.
     Expired,
     /// This router has no replica of the holder and cannot decide.
     Unknown,
@@ -58,11 +58,11 @@
 /// The position of a holder's call relative to the last one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Replay {
-    /// The next one.
+    /// The next call in the sequence.
     New,
-    /// The last one repeated, with the answers that it got.
+    /// The last call repeated; holds the answers that the last call got.
     Repeated(Vec<Answer>),
-    /// An older one, or one that follows a gap in the sequence.
+    /// An older call, or one that follows a gap in the sequence.
     Stale,
 }
 
@@ -73,7 +73,7 @@
     pub id: Id,
     /// The budget that pays.
     pub budget: BudgetKey,
-    /// Its bill.
+    /// Bill of the request.
     pub billed: Tokens,
 }
 
@@ -84,7 +84,7 @@
     pub id: Id,
     /// The budget that pays.
     pub budget: BudgetKey,
-    /// Its reservation, with the target that can be asked.
+    /// Reservation of the request, with the target that can be asked.
     pub reservation: Reservation,
 }
 
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Closed holders.
+    /// The holders that this witness has closed.
     pub fn closed(&self) -> Vec<Incarnation> {
         let replicas = self.replicas.iter();
         replicas
--- a/src/router/client/hosts.rs
+++ b/src/router/client/hosts.rs
@@ -16,7 +16,7 @@
 pub struct Listed {
     /// A router's address for other routers, or a target's address.
     pub address: SocketAddr,
-    /// Whether it is leaving.
+    /// Whether the router or target is leaving.
     pub leaving: bool,
 }
 
--- a/src/router/client/log.rs
+++ b/src/router/client/log.rs
@@ -55,7 +55,7 @@
     ) -> impl Future<Output = Result<Vec<Page>, Error>> + Send;
 }
 
-/// A client of the log over HTTP.
+/// A client of the log service over HTTP.
 #[derive(Clone)]
 pub struct HttpLog {
     address: SocketAddr,
@@ -99,7 +99,7 @@
 }
 
 impl HttpLog {
-    /// Creates a client of the log at this address.
+    /// Creates a client of the log service at this address.
     pub fn new(address: SocketAddr) -> Self {
         Self {
             address,
--- a/src/router/client/mod.rs
+++ b/src/router/client/mod.rs
@@ -1,4 +1,4 @@
-//! Clients of the two platform services that a router depends on: the log and the host list.
+//! Clients of the two platform services that a router depends on: the log service and the host list.
 //!
 //! Each service is a trait, so that tests can substitute their own implementation.
 
--- a/src/router/config/fold.rs
+++ b/src/router/config/fold.rs
@@ -14,7 +14,7 @@
 /// An object with its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Item {
-    /// Offset of the plan that set it; also the fence of the orders that are based on it.
+    /// Offset of the plan that set the object. For a target, also the fence that is sent with requests to it.
     pub version: Offset,
     /// The value.
     pub object: Object,
@@ -95,7 +95,7 @@
     /// Checks a plan against the present configuration, without applying it.
     ///
     /// # Errors
-    /// The reason why it would be refused.
+    /// The reason why the plan would be refused.
     pub fn validate(&self, plan: &Plan) -> Result<(), Refused> {
         for change in &plan.changes {
             let (key, expect) = match change {
--- a/src/router/config/planning.rs
+++ b/src/router/config/planning.rs
@@ -31,9 +31,9 @@
     },
     /// Create or change a budget.
     Budget {
-        /// Its name.
+        /// Name of the budget.
         name: String,
-        /// The customer that spends it.
+        /// The customer that spends the budget.
         customer: String,
         /// Prepaid tokens.
         prepaid: Tokens,
@@ -60,7 +60,7 @@
         budget: String,
         /// The holder's incarnation, in hexadecimal.
         holder: String,
-        /// Tokens of its open part that are billed.
+        /// Tokens of the holder's open part (held or in doubt) that are billed.
         billed: Tokens,
     },
 }
@@ -73,15 +73,15 @@
     Field {
         /// The field.
         field: &'static str,
-        /// The values that it accepts.
+        /// The values that the field accepts.
         wanted: String,
     },
     /// A named object does not exist.
     #[snafu(display("{kind} {name:?} is not known"))]
     Missing {
-        /// Its kind.
+        /// Kind of the object.
         kind: &'static str,
-        /// Its name.
+        /// Name of the object.
         name: String,
     },
 }
@@ -91,7 +91,7 @@
 pub struct Proposal {
     /// The plan to confirm.
     pub plan: Plan,
-    /// Its consequences, one line each.
+    /// Consequences of the plan, one line each.
     pub notes: Vec<String>,
 }
 
--- a/src/router/control/action.rs
+++ b/src/router/control/action.rs
@@ -25,7 +25,7 @@
 pub struct Spec {
     /// Identifies this arrival of the request.
     pub ticket: Ticket,
-    /// The caller's id, or one generated for it.
+    /// The id that the caller gave, or one generated for the request.
     pub id: Id,
     /// Hash of everything that a retry of the request must repeat.
     pub fingerprint: u64,
@@ -33,15 +33,15 @@
     pub customer: String,
     /// Name of the budget that pays.
     pub budget: String,
-    /// Name of its priority class.
+    /// Name of the request's priority class.
     pub class: String,
-    /// Whether it goes to an engine or a service.
+    /// Whether the request goes to an engine or a service.
     pub kind: Kind,
     /// Name of the model or service.
     pub serves: String,
-    /// The most tokens that it can use, before the class's price factor; 0 for a service.
+    /// The most tokens that the request can use, before the class's price factor; 0 for a service.
     pub max_tokens: Tokens,
-    /// Whether it may run twice.
+    /// Whether the request may run more than once.
     pub repeatable: bool,
 }
 
@@ -77,7 +77,7 @@
     Ended {
         /// The request.
         ticket: Ticket,
-        /// How it ended.
+        /// How the dispatch ended.
         end: End,
     },
     /// Records have been read from a stream.
@@ -89,13 +89,13 @@
         /// The batches that follow those read before, with their offsets.
         batches: Vec<(Offset, Batch)>,
     },
-    /// Whether the log answers.
+    /// Whether the log service answers.
     LogUp(bool),
-    /// The log answered an append. A record only takes effect once it is read back.
+    /// The log service answered an append. A record only takes effect once it is read back.
     Appended {
         /// The stream.
         stream: Stream,
-        /// Whether the log accepted it.
+        /// Whether the log service accepted the append.
         taken: bool,
     },
     /// The host list: the address of each peer and whether it is leaving.
@@ -104,7 +104,7 @@
     Report {
         /// The target's address.
         address: SocketAddr,
-        /// Requests that it has in progress.
+        /// Requests that the target has in progress.
         running: u32,
     },
     /// A peer has sent a request.
@@ -167,7 +167,7 @@
     Dispatch {
         /// The request.
         ticket: Ticket,
-        /// Its id, which is sent to the target.
+        /// Id of the request, which is sent to the target.
         id: Id,
         /// Number of this dispatch among those of the request, from 1.
         attempt: u32,
@@ -196,7 +196,7 @@
     Inquire {
         /// The request's id in its holder's accounts.
         id: Id,
-        /// The id under which the target knows it.
+        /// The id under which the target knows the request.
         request: Id,
         /// The target.
         target: SocketAddr,
@@ -273,24 +273,24 @@
 pub struct StatusPeer {
     /// Address that callers connect to.
     pub entry: SocketAddr,
-    /// Its incarnation in hexadecimal.
+    /// Incarnation of the peer, in hexadecimal.
     pub incarnation: String,
-    /// Its hall.
+    /// Data hall of the peer.
     pub hall: String,
     /// `Well`, `Leaving` or `Ill`.
     pub standing: String,
-    /// Offset up to which it has applied the configuration stream.
+    /// Offset up to which the peer has applied the configuration stream.
     pub applied: Offset,
 }
 
 /// A budget in a [`Status`].
 #[derive(Clone, Debug, Serialize)]
 pub struct StatusBudget {
-    /// Its name.
+    /// Name of the budget.
     pub name: String,
-    /// Its customer.
+    /// The customer that spends the budget.
     pub customer: String,
-    /// Its shard and index, by which the log's records refer to it.
+    /// Shard and index of the budget, by which the log's records refer to it.
     pub key: BudgetKey,
     /// Tokens paid for.
     pub prepaid: Tokens,
@@ -309,23 +309,23 @@
 /// The state of a router, as its status request reports it.
 #[derive(Clone, Debug, Serialize)]
 pub struct Status {
-    /// Its incarnation in hexadecimal.
+    /// Incarnation of this router, in hexadecimal.
     pub incarnation: String,
     /// Address that callers connect to.
     pub entry: SocketAddr,
-    /// Its hall.
+    /// Data hall of this router.
     pub hall: String,
-    /// Whether it has read every stream to its end at least once.
+    /// Whether this router has read every stream to its end at least once.
     pub ready: bool,
     /// Whether a planned stop is in progress.
     pub stopping: bool,
-    /// Whether the log is available.
+    /// Whether the log service is available.
     pub log_up: bool,
-    /// Its witness in hexadecimal.
+    /// Incarnation of this router's witness, in hexadecimal.
     pub witness: Option<String>,
-    /// Holders that it is the witness of.
+    /// Number of holders that this router is the witness of.
     pub wards: usize,
-    /// Offset up to which it has applied each stream.
+    /// Offset up to which this router has applied each stream.
     pub applied: Vec<(String, Offset)>,
     /// Requests in a queue.
     pub waiting: usize,
--- a/src/router/control/decision/grant.rs
+++ b/src/router/control/decision/grant.rs
@@ -18,7 +18,7 @@
     /// Whether the budget was reduced and routers have yet to return the excess, so that returned tokens
     /// are not granted again.
     pub is_reduction_pending: bool,
-    /// Whether the log is unavailable.
+    /// Whether the log service is unavailable.
     pub is_log_out: bool,
     /// How long the request has lacked tokens.
     pub waited: Millis,
--- a/src/router/control/decision/refusal.rs
+++ b/src/router/control/decision/refusal.rs
@@ -3,9 +3,9 @@
 /// What this router knows about a request that it has not run itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunEvidence {
-    /// Whether only this incarnation can have received it.
+    /// Whether only this incarnation can have received the request.
     pub is_own: bool,
-    /// Whether it may have run before it reached this router, or in an attempt that broke off.
+    /// Whether the request may have run before it reached this router, or in an attempt that broke off.
     pub may_have_run: bool,
     /// Whether no witness can have closed this incarnation by now; a closed one's requests may run on other
     /// routers.
--- a/src/router/control/decision/retry.rs
+++ b/src/router/control/decision/retry.rs
@@ -26,11 +26,11 @@
 /// The attempts that a request has had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct History {
-    /// How its last dispatch ended.
+    /// How the request's last dispatch ended.
     pub failure: Failure,
     /// Dispatches so far.
     pub attempts: u32,
-    /// Whether its reservation is in the accounts of this incarnation. The accounts of an earlier one are closed.
+    /// Whether the reservation is in the accounts of this incarnation. The accounts of an earlier one are closed.
     pub is_own: bool,
 }
 
--- a/src/router/control/decision/takeover.rs
+++ b/src/router/control/decision/takeover.rs
@@ -1,4 +1,4 @@
-//! Decides whether a request of a lost incarnation runs on this router, by what its witness answers.
+//! Decides whether a request of a lost incarnation runs on this router, by what the incarnation's witness answers.
 
 use crate::router::budget::TakeoverAnswer;
 use crate::router::request::Reason;
@@ -7,16 +7,16 @@
 /// The terms on which a request is taken over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Terms {
-    /// What it was billed already, if it was; it then costs nothing more.
+    /// What the request was billed already, if it was; it then costs nothing more.
     pub paid: Option<Tokens>,
-    /// Whether it may have run before the takeover.
+    /// Whether the request may have run before the takeover.
     pub may_have_run: bool,
 }
 
-/// Decides whether the request runs on this router.
+/// Decides whether a request runs on this router, and returns the terms if it does.
 ///
 /// # Errors
-/// The reason why it does not run here; it may have run elsewhere.
+/// The reason why the request does not run here; it may have run elsewhere.
 pub fn decide(taken: TakeoverAnswer, is_repeatable: bool) -> Result<Terms, Reason> {
     let rerun = |paid| Terms {
         paid,
--- a/src/router/control/decision/witness.rs
+++ b/src/router/control/decision/witness.rs
@@ -12,16 +12,16 @@
 pub struct WitnessState {
     /// Time since the holder sent the last call that the witness answered.
     pub unanswered: Millis,
-    /// Whether the witness or the host list says that it is leaving.
+    /// Whether the witness or the host list says that the witness is leaving.
     pub is_leaving: bool,
-    /// Whether another router can replace it.
+    /// Whether another router can replace the witness.
     pub has_other: bool,
 }
 
 /// What to do about a witness.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Keep it.
+    /// Keep the witness.
     Keep,
     /// Ask another router, or go without a witness if there is none.
     Change,
@@ -41,9 +41,9 @@
 /// A ward whose witness, according to the ledger, is a router that is stopping.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Ward {
-    /// Time since it was last heard from.
+    /// Time since the ward was last heard from.
     pub silent_for: Millis,
-    /// Whether another router can be its witness.
+    /// Whether another router can be the ward's witness.
     pub has_other: bool,
 }
 
--- a/src/router/control/dispatch.rs
+++ b/src/router/control/dispatch.rs
@@ -20,7 +20,7 @@
 /// The result of trying to start a queued request.
 enum Start {
     Started,
-    /// It waits for tokens; others in its queue may start.
+    /// The request waits for tokens; others in its queue may start.
     Blocked,
     /// No target has a free slot.
     NoSlot,
--- a/src/router/control/job.rs
+++ b/src/router/control/job.rs
@@ -13,13 +13,13 @@
 /// The stage of a request in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// It waits for the witness of a lost incarnation to decide whether it may be taken over.
+    /// The request waits for the witness of a lost incarnation to decide whether it may be taken over.
     TakingOver,
-    /// It is queued for a target or a grant.
+    /// The request is queued for a target or a grant.
     Waiting,
-    /// Its reservation waits for the witnesses' acknowledgements.
+    /// The request's reservation waits for the witnesses' acknowledgements.
     Opening,
-    /// It was dispatched to a target.
+    /// The request was dispatched to a target.
     Running,
 }
 
@@ -33,30 +33,30 @@
     pub price_permille: u32,
     pub arrived: Millis,
     pub budget: BudgetKey,
-    /// Its number in the holder's accounts; after a takeover it differs from the one in the caller's id.
+    /// Number of the request in the holder's accounts; after a takeover it differs from the one in the caller's id.
     pub nonce: u64,
-    /// The most tokens that it can use, before the class's price factor.
+    /// The most tokens that the request can use, before the class's price factor.
     pub max_tokens: Tokens,
-    /// What it was billed before it was taken over, if it was; it costs nothing more here.
+    /// What the request was billed before it was taken over, if it was; it costs nothing more here.
     pub paid: Option<Tokens>,
-    /// Whether it may have run in an earlier attempt, here or elsewhere; its verdict is then never "not run".
+    /// Whether the request may have run in an earlier attempt, here or elsewhere; its verdict is then never "not run".
     pub may_have_run: bool,
     /// The most tokens received from an attempt that broke off.
     pub tokens_seen: Option<Tokens>,
-    /// The incarnation of this process whose accounts it is in.
+    /// The incarnation of this process whose accounts contain the request.
     pub holder: Incarnation,
-    /// Witnesses that have acknowledged its reservation.
+    /// Witnesses that have acknowledged the reservation.
     pub witnessed_by: Vec<Incarnation>,
     pub opening_since: Millis,
     pub choice: Option<Choice>,
     pub tried: Vec<TargetKey>,
     pub attempt: u32,
-    /// When it first lacked tokens.
+    /// When the request first lacked tokens.
     pub short_since: Option<Millis>,
 }
 
 impl Job {
-    /// The most tokens that it can cost.
+    /// The most tokens that the request can cost.
     pub fn max_cost(&self) -> Tokens {
         if self.paid.is_some() {
             return Tokens::ZERO;
@@ -69,7 +69,7 @@
         used.priced(self.price_permille)
     }
 
-    /// Its cost, given the tokens used. A service call costs its fixed price, whatever it used.
+    /// Cost of the request, given the tokens used. A service call costs its fixed price, whatever it used.
     pub fn cost(&self, used: Tokens) -> Tokens {
         match self.spec.kind {
             _ if self.paid.is_some() => Tokens::ZERO,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The reservation as sent to its witnesses; `None` until a target is chosen.
+    /// The reservation as sent to the witnesses; `None` until a target is chosen.
     pub fn reservation(&self) -> Option<Reservation> {
         let price = match self.spec.kind {
             Kind::Engine => Price::Permille(self.price_permille),
@@ -92,7 +92,7 @@
         })
     }
 
-    /// The notice that opens it at its witnesses; `None` until a target is chosen.
+    /// The notice that opens the request at the witnesses; `None` until a target is chosen.
     pub fn open_notice(&self) -> Option<Notice> {
         Some(Notice::Open {
             nonce: self.nonce,
--- a/src/router/control/link.rs
+++ b/src/router/control/link.rs
@@ -35,7 +35,8 @@
     pub adopted: bool,
     /// Numbers of the requests that are open in the accounts sent to the witness.
     pub open: Vec<u64>,
-    /// Numbers of the requests that are settled in them, with an acknowledgement still outstanding.
+    /// Numbers of the requests that are settled in the accounts sent to the witness, with an acknowledgement still
+    /// outstanding.
     pub settled: Vec<u64>,
 }
 
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -9,14 +9,14 @@
 
 /// Time between two rounds of account maintenance for a router without peers.
 const MAINTENANCE_INTERVAL: Millis = Millis(1_000);
-/// What each healthy peer adds to it, so that the fleet's appends stay within the log's capacity.
+/// Added to [`MAINTENANCE_INTERVAL`] for each healthy peer, so that the fleet's appends stay within the log's capacity.
 const MAINTENANCE_PER_PEER: Millis = Millis(20);
 /// Shortest time between two grant requests for the same budget.
 const GRANT_REQUEST_INTERVAL: Millis = Millis(300);
 /// A grant is requested ahead of demand if the tokens held would run out within this span and one maintenance
 /// interval.
 const REFILL_HORIZON: Millis = Millis(5_000);
-/// The log counts as unavailable when it has not answered for longer than this.
+/// The log service counts as unavailable when it has not answered for longer than this.
 const LOG_SILENCE_MAX: Millis = Millis(2_000);
 
 impl State {
@@ -70,7 +70,7 @@
         self.writer(key.stream()).push(record);
     }
 
-    /// Whether the log is unavailable: its reads have failed, or an append was not read back, for too long.
+    /// Whether the log service is unavailable: reads have failed, or an append was not read back, for too long.
     pub(super) fn is_log_out(&self) -> bool {
         let now = self.now;
         let reads_fail = !self.log_up && now > self.log_down_since + LOG_SILENCE_MAX;
--- a/src/router/control/peers.rs
+++ b/src/router/control/peers.rs
@@ -20,7 +20,7 @@
 /// A ward that is silent for longer than this and not closed, since its ledgers name another witness, is
 /// forgotten.
 const FORGET_AFTER: Millis = Millis(3_600_000);
-/// The same for a ward that has named an earlier incarnation of this process as its witness.
+/// Like [`FORGET_AFTER`], for a ward that has named an earlier incarnation of this process as its witness.
 const PAST_FORGET_AFTER: Millis = Millis(60_000);
 /// Time between two rounds of inquiries to targets about requests in doubt.
 const INQUIRY_INTERVAL: Millis = Millis(1_000);
--- a/src/router/control/state.rs
+++ b/src/router/control/state.rs
@@ -29,7 +29,7 @@
 /// Settings, fixed for the life of a process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This router, as announced to the others.
+    /// This router's own entry, as announced to the others.
     pub me: Peer,
     /// Seed of the random number generator.
     pub seed: u64,
@@ -106,9 +106,9 @@
     pub(super) writers: BTreeMap<Stream, Writer>,
     /// Streams that were read to their end at least once, or taken from a peer.
     pub(super) caught_up: BTreeSet<Stream>,
-    /// Whether the log answered the last read.
+    /// Whether the log service answered the last read.
     pub(super) log_up: bool,
-    /// When the log last stopped answering.
+    /// When the log service last stopped answering.
     pub(super) log_down_since: Millis,
     /// Checkpoints that this router will write unless another router does first.
     pub(super) checkpoints: BTreeMap<Stream, PendingCheckpoint>,
--- a/src/router/entry.rs
+++ b/src/router/entry.rs
@@ -1,7 +1,8 @@
 //! The listener for callers and operators: reads each request completely and passes it to the routes.
 //!
-//! It owns the routes and the signals of a planned stop. [`net::Server`](crate::net::Server) owns the connections.
-//! It makes no decision on a request, except to refuse one that is incomplete when the server closes.
+//! The listener owns the routes and the signals of a planned stop; [`net::Server`](crate::net::Server) owns the
+//! connections. The listener makes no decision on a request, except to refuse one that is incomplete when the server
+//! closes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -1,4 +1,4 @@
-//! Inputs that a router polls for: the log, the host list, and the targets' load reports.
+//! Inputs that a router polls for: the log service, the host list, and the targets' load reports.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
--- a/src/router/host/member.rs
+++ b/src/router/host/member.rs
@@ -39,35 +39,35 @@
     pub entry: SocketAddr,
     /// Address for other routers.
     pub address: SocketAddr,
-    /// Its data hall.
+    /// Data hall of the router.
     pub hall: String,
-    /// Its region.
+    /// Region of the router.
     pub region: String,
-    /// Epoch in the request ids that it gives out.
+    /// Epoch in the request ids that the router gives out.
     pub epoch: u32,
-    /// Whether it is about to stop.
+    /// Whether the router is about to stop.
     pub leaving: bool,
-    /// Its witness.
+    /// Witness of the router, if it has one.
     pub witness: Option<Incarnation>,
-    /// Last offset of the configuration stream that it has applied.
+    /// Last offset of the configuration stream that the router has applied.
     pub applied: Offset,
 }
 
 /// State of a peer as this router sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// Its counter increases.
+    /// The peer's heartbeat counter increases.
     Well,
-    /// It is leaving, by its own report or by the host list.
+    /// The peer is leaving, by its own report or by the host list.
     Leaving,
-    /// Its counter has stopped increasing.
+    /// The peer's heartbeat counter has stopped increasing.
     Ill,
 }
 
 #[derive(Clone, Debug)]
 struct Known {
     peer: Peer,
-    /// When its counter was last seen to increase.
+    /// When the peer's heartbeat counter was last seen to increase.
     advanced_at: Millis,
 }
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /// This router.
+    /// This router's own entry.
     pub fn me(&self) -> &Peer {
         &self.me
     }
@@ -114,7 +114,7 @@
         self.past_incarnations.retain(|peer| keep(peer.incarnation));
     }
 
-    /// This router, mutable.
+    /// This router's own entry, mutable.
     pub fn me_mut(&mut self) -> &mut Peer {
         &mut self.me
     }
--- a/src/router/http/answer.rs
+++ b/src/router/http/answer.rs
@@ -26,7 +26,7 @@
 pub struct RequestInfo {
     /// The request id.
     pub id: Id,
-    /// The customer that sent it.
+    /// The customer that sent the request.
     pub customer: String,
     /// The service class.
     pub class: String,
--- a/src/router/http/mod.rs
+++ b/src/router/http/mod.rs
@@ -41,7 +41,7 @@
 pub const REPEATABLE: &str = "lanedeck-repeatable";
 /// Header with the number of this dispatch of a request, sent to targets.
 pub const ATTEMPT: &str = "lanedeck-attempt";
-/// Header with the fence of an order, sent to targets.
+/// Header with the fence of a request (the version of the target's object), sent to targets.
 pub const FENCE: &str = "lanedeck-fence";
 /// Header with the rank of the class, sent to targets.
 pub const RANK: &str = "lanedeck-rank";
--- a/src/router/http/relay.rs
+++ b/src/router/http/relay.rs
@@ -83,7 +83,7 @@
 enum ReadOutcome {
     /// With the last frame of the answer.
     Complete,
-    /// Before it.
+    /// Before the last frame of the answer.
     Broken,
 }
 
--- a/src/router/intent/object.rs
+++ b/src/router/intent/object.rs
@@ -42,19 +42,19 @@
 /// A back end that runs requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// Address that it listens on.
+    /// Address that the target listens on.
     pub address: SocketAddr,
     /// Engine or service.
     pub kind: Kind,
-    /// The model or service that it serves.
+    /// The model or service that the target serves.
     pub serves: String,
-    /// Its data hall.
+    /// Data hall of the target.
     pub hall: String,
     /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Whether it checks the fence of orders, to reject an order with an older fence than it has seen.
+    /// Whether the target checks the fence of requests, to reject one with an older fence than it has seen.
     pub checks_fence: bool,
-    /// Whether it gets no new requests.
+    /// Whether the target gets no new requests.
     pub draining: bool,
     /// Price per call of a service, in tokens; 0 for an engine, which is billed by token.
     pub call_price: Tokens,
@@ -94,13 +94,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Object {
-    /// See [`Customer`].
+    /// A customer's key, request limit and classes.
     Customer(Customer),
-    /// See [`Class`].
+    /// The rank, price and patience of a class.
     Class(Class),
-    /// See [`Target`].
+    /// The address, kind and limits of a target.
     Target(Target),
-    /// See [`Objective`].
+    /// The latency objective of a class.
     Objective(Objective),
 }
 
--- a/src/router/intent/plan.rs
+++ b/src/router/intent/plan.rs
@@ -25,23 +25,23 @@
         key: Key,
         /// The value.
         object: Object,
-        /// Its version when planned; 0 if it did not exist.
+        /// Version of the object when the plan was made; 0 if it did not exist.
         expect: Offset,
     },
     /// Removes an object of the configuration.
     Delete {
         /// Kind and name.
         key: Key,
-        /// Its version when planned.
+        /// Version of the object when the plan was made.
         expect: Offset,
     },
     /// Sets a budget.
     Budget {
-        /// Its name.
+        /// Name of the budget.
         name: String,
-        /// Its terms.
+        /// Terms of the budget.
         terms: Terms,
-        /// Its version when planned; 0 if it did not exist.
+        /// Version of the budget when the plan was made; 0 if it did not exist.
         expect: Offset,
     },
     /// Releases the grant of a holder that the operator declares gone for good.
@@ -50,7 +50,7 @@
         budget: BudgetKey,
         /// The holder.
         holder: Incarnation,
-        /// Tokens of its open part that are billed; the rest comes back to the budget.
+        /// Tokens of the holder's open part (held or in doubt) that are billed; the rest comes back to the budget.
         billed: Tokens,
     },
 }
@@ -58,11 +58,11 @@
 /// A plan for an operator to confirm.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its id.
+    /// Id of the plan.
     pub id: PlanId,
-    /// The stream that it changes.
+    /// The stream that the plan changes.
     pub stream: Stream,
-    /// Its changes; all take effect, or none.
+    /// Changes of the plan; all take effect, or none.
     pub changes: Vec<Change>,
 }
 
--- a/src/router/key.rs
+++ b/src/router/key.rs
@@ -63,14 +63,14 @@
 /// Position of a budget in its shard's ledger; the same in every router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BudgetKey {
-    /// Shard whose ledger contains it.
+    /// Shard whose ledger contains the budget.
     pub shard: u8,
-    /// Index in that ledger.
+    /// Index of the budget in that ledger.
     pub index: u32,
 }
 
 impl BudgetKey {
-    /// The stream with the budget.
+    /// The stream of the shard whose ledger contains the budget.
     pub fn stream(self) -> Stream {
         Stream::Shard(self.shard)
     }
--- a/src/router/log/record.rs
+++ b/src/router/log/record.rs
@@ -12,7 +12,7 @@
 pub struct Open {
     /// Number of the request within its holder.
     pub nonce: u64,
-    /// Tokens reserved: the most that it can be billed.
+    /// Tokens reserved: the most that the request can be billed.
     pub reserved: Tokens,
 }
 
@@ -21,7 +21,7 @@
 pub struct Closed {
     /// The budget.
     pub budget: BudgetKey,
-    /// Total that the holder has settled from it.
+    /// Total that the holder has settled from the budget.
     pub settled: Tokens,
     /// Requests dispatched but not settled.
     pub open: Vec<Open>,
@@ -30,7 +30,7 @@
 /// A stream's folded state up to and including an offset.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Checkpoint {
-    /// Offset of the batch with the mark at which it was taken.
+    /// Offset of the batch with the mark at which the checkpoint was taken.
     pub through: Offset,
     /// Digest of `state`.
     pub digest: u64,
--- a/src/router/log/sequence.rs
+++ b/src/router/log/sequence.rs
@@ -16,9 +16,9 @@
 pub struct WriterState {
     /// The last sequence number applied.
     pub seq: u64,
-    /// Its witness, if it has one.
+    /// Witness of the writer, if it has one.
     pub witness: Option<Incarnation>,
-    /// Offset at which it left or was closed.
+    /// Offset at which the writer left or was closed.
     pub departed_at: Option<Offset>,
 }
 
--- a/src/router/log/violation.rs
+++ b/src/router/log/violation.rs
@@ -34,7 +34,7 @@
     Digest {
         /// Offset of the mark.
         through: Offset,
-        /// This router's digest.
+        /// Digest of this router's state at the mark.
         ours: u64,
         /// Digest in the checkpoint that was read.
         theirs: u64,
--- a/src/router/message.rs
+++ b/src/router/message.rs
@@ -16,7 +16,7 @@
     Adopt(Replica),
     /// The holder is about to dispatch a request.
     Open {
-        /// Its nonce.
+        /// Number of the request within the holder.
         nonce: u64,
         /// The budget that pays.
         budget: BudgetKey,
@@ -25,9 +25,9 @@
     },
     /// A request is billed, or was never dispatched.
     Settle {
-        /// Its nonce.
+        /// Number of the request within the holder.
         nonce: u64,
-        /// The bill; `None` where it was never dispatched.
+        /// The bill; `None` if the request was never dispatched.
         billed: Option<Tokens>,
     },
     /// The holder is alive.
@@ -65,9 +65,9 @@
         id: Id,
         /// The shard of the customer's budgets.
         shard: u8,
-        /// The incarnation that wants to run it.
+        /// The incarnation that wants to run the request.
         by: Incarnation,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         repeatable: bool,
     },
     /// Asks for the receiver's state of a stream.
@@ -91,7 +91,7 @@
     Takeover(TakeoverAnswer),
     /// Reply to a request for the state of a stream.
     State(Checkpoint),
-    /// The receiver cannot answer: the incarnation meant does not run here, is not the holder's witness, or has not read
-    /// the whole stream.
+    /// The receiver cannot answer: the addressed incarnation does not run here, is not the holder's witness, or has not
+    /// read the whole stream.
     Unavailable,
 }
--- a/src/router/pool.rs
+++ b/src/router/pool.rs
@@ -35,7 +35,7 @@
 pub struct Choice {
     /// The target.
     pub target: TargetKey,
-    /// Its address.
+    /// Address of the target.
     pub address: SocketAddr,
     /// Fence sent with the request: the version of the target's object.
     pub fence: Offset,
@@ -44,17 +44,17 @@
 /// A target and its state as this router sees it.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Version of its configuration object.
+    /// Version of the target's configuration object, sent with requests so that the target can reject outdated ones.
     pub fence: Offset,
-    /// Its configuration object.
+    /// The target's configuration object.
     pub spec: Target,
     /// Requests from this router that it is running.
     pub in_flight: u32,
-    /// Its recent outcomes, and whether it is ejected.
+    /// Recent outcomes of the target, and whether it is ejected.
     pub health: Health,
     listed: bool,
     leaving: bool,
-    /// Requests from elsewhere in its last load report.
+    /// Requests from elsewhere in the target's last load report.
     reported_others: u32,
     reported_at: Option<Millis>,
 }
@@ -68,7 +68,8 @@
         f64::from(self.in_flight + others)
     }
 
-    /// Whether it gets no new requests for a reason other than its health: it is leaving, draining or not configured.
+    /// Whether the target gets no new requests for a reason other than its health: it is leaving, draining or not
+    /// configured.
     pub fn is_leaving(&self) -> bool {
         self.leaving || self.spec.draining || !self.listed
     }
--- a/src/router/process.rs
+++ b/src/router/process.rs
@@ -36,7 +36,7 @@
     pub entry: TcpListener,
     /// Listener for other routers.
     pub peers: TcpListener,
-    /// Client of the log.
+    /// Client of the log service.
     pub log: HttpLog,
     /// Client of the host list.
     pub hosts: HttpHosts,
--- a/src/router/request/id.rs
+++ b/src/router/request/id.rs
@@ -20,14 +20,14 @@
 /// A request's id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Id {
-    /// The incarnation that may run it.
+    /// The incarnation that may run the request.
     pub incarnation: Incarnation,
     /// The epoch in the upper half, the caller's number in the lower.
     pub nonce: u64,
 }
 
 impl Id {
-    /// The epoch in which its prefix was issued.
+    /// The epoch in which the id's prefix was issued.
     pub fn epoch(self) -> u32 {
         epoch_of(self.nonce)
     }
@@ -66,7 +66,7 @@
 pub struct Prefix {
     /// The incarnation that will run the requests.
     pub incarnation: Incarnation,
-    /// Its epoch.
+    /// Epoch of that incarnation.
     pub epoch: u32,
 }
 
--- a/src/router/request/verdict.rs
+++ b/src/router/request/verdict.rs
@@ -14,13 +14,13 @@
     BudgetExhausted,
     /// The rest of the budget is granted to other routers, which have been asked to return it.
     BudgetElsewhere,
-    /// There is no grant, and the log cannot be reached to get one.
+    /// There is no grant, and the log service cannot be reached to get one.
     LogUnavailable,
     /// No witness can be reached.
     WitnessUnavailable,
     /// The queue is full of requests that go first.
     Overloaded,
-    /// It could not start within its class's patience.
+    /// The request could not start within its class's patience.
     TooLate,
     /// The customer has reached its limit of requests in progress.
     TooMany,
@@ -32,7 +32,7 @@
     Stopping,
     /// An invariant of the budget is violated; an operator must intervene.
     Suspended,
-    /// The target refused it, or could not be reached.
+    /// The target refused the request, or could not be reached.
     TargetRefused,
     /// The target broke off, or its answer cannot be trusted.
     TargetFailed,
@@ -87,21 +87,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
-    /// It ran, once, and was billed.
+    /// The request ran, once, and was billed.
     Ran {
         /// The bill.
         billed: Tokens,
     },
-    /// It did not run, and nothing was billed.
+    /// The request did not run, and nothing was billed.
     NotRun {
-        /// Why it did not run.
+        /// Why the request did not run.
         reason: Reason,
         /// Time after which to retry.
         retry_after: Millis,
     },
-    /// It may have run; a request that is not repeatable must not be sent again.
+    /// The request may have run; if it is not repeatable, it must not be sent again.
     MayHaveRun {
-        /// Why its outcome is unknown.
+        /// Why the outcome is unknown.
         reason: Reason,
     },
 }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Why it did not run, or why its outcome is unknown; `None` if it ran.
+    /// Why the request did not run, or why its outcome is unknown; `None` if it ran.
     pub fn reason(&self) -> Option<Reason> {
         match self {
             Self::Ran { .. } => None,
--- a/src/router/shared.rs
+++ b/src/router/shared.rs
@@ -52,7 +52,7 @@
 }
 
 impl Shared {
-    /// Whether the log has been read to its end once; before that, no customer is known.
+    /// Whether the log's streams have been read to their ends once; before that, no customer is known.
     pub fn is_ready(&self) -> bool {
         self.is_ready.load(Ordering::Acquire)
     }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -35,7 +35,7 @@
     pub first_token: Duration,
     /// Time between tokens.
     pub between_tokens: Duration,
-    /// Whether it refuses requests whose fencing token is older than the newest it has seen.
+    /// Whether the engine refuses requests whose fencing token is older than the newest it has seen.
     pub checks_fence: bool,
 }
 
@@ -70,7 +70,7 @@
     pub cross_permille: u32,
     /// Factor by which all times of a request are multiplied; 0 counts as 1.
     pub slow: u32,
-    /// Whether it answers resumes and questions for a request as if it had no record of it.
+    /// Whether the engine answers resumes and status queries for a request as if it had no record of the request.
     pub forgets: bool,
 }
 
