--- a/src/cmd/router.rs
+++ b/src/cmd/router.rs
@@ -201,7 +201,7 @@
     let policy = c.setting("policy", &args.policy, &wanted, |policy: &String| {
         POLICIES.contains(&policy.as_str())
     });
-    let me = || Some(initial_peer(entry?, peer?, hall?, region?));
+    let me = || Some(own_initial_peer(entry?, peer?, hall?, region?));
     let settings = settings(c, args, me());
     let body_max = c.integer("body-max", &args.body_max, 1_024, 67_108_864);
     let silence = c.integer("silence", &args.silence, 100, 3_600_000);
@@ -235,7 +235,7 @@
 }
 
 /// This router's own entry, as it first announces itself to the others.
-fn initial_peer(entry: SocketAddr, address: SocketAddr, hall: String, region: String) -> Peer {
+fn own_initial_peer(entry: SocketAddr, address: SocketAddr, hall: String, region: String) -> Peer {
     Peer {
         incarnation: Incarnation(rand::rng().random()),
         counter: 0,
--- a/src/router/budget/account.rs
+++ b/src/router/budget/account.rs
@@ -50,7 +50,7 @@
 
     /// Sets the total of returned tokens and returns the increase; `None` if the total decreases or, with the settled
     /// tokens, exceeds the grant.
-    pub(super) fn give_back(&mut self, total: Tokens) -> Option<Tokens> {
+    pub(super) fn set_returned(&mut self, total: Tokens) -> Option<Tokens> {
         let fits = total >= self.returned && total + self.settled <= self.granted;
         let increase = fits.then(|| total - self.returned)?;
         self.returned = total;
--- a/src/router/budget/ledger.rs
+++ b/src/router/budget/ledger.rs
@@ -292,7 +292,7 @@
                 self.change_grant(*budget, writer, |grant| grant.settle(*settled))
             }
             Record::Return { budget, returned } if !gone => {
-                self.change_grant(*budget, writer, |grant| grant.give_back(*returned))
+                self.change_grant(*budget, writer, |grant| grant.set_returned(*returned))
             }
             Record::Witness { witness } if !gone => {
                 self.sequence.set_witness(writer, *witness);
--- a/src/router/config/planning.rs
+++ b/src/router/config/planning.rs
@@ -343,7 +343,7 @@
         holder,
         billed,
     };
-    Ok(proposal(id, key.stream(), change, notes))
+    Ok(proposal(id, key.shard_stream(), change, notes))
 }
 
 fn proposal(id: PlanId, stream: Stream, change: Change, mut notes: Vec<String>) -> Proposal {
--- a/src/router/control/arrive.rs
+++ b/src/router/control/arrive.rs
@@ -284,7 +284,7 @@
     }
 
     /// Handles the witness's answer to a takeover: admits the request, or refuses it.
-    pub(super) fn handle_takeover_answer(&mut self, ticket: Ticket, taken: TakeoverAnswer) {
+    pub(super) fn handle_takeover_answer(&mut self, ticket: Ticket, answer: TakeoverAnswer) {
         let is_pending = self.jobs.get(&ticket).map(|job| job.stage) == Some(Stage::TakingOver);
         if !is_pending {
             return;
@@ -293,7 +293,7 @@
             return;
         };
         self.table.remove(job.spec.id);
-        match takeover::decide(taken, job.spec.repeatable) {
+        match takeover::terms(answer, job.spec.repeatable) {
             Ok(terms) => {
                 job.paid = terms.paid;
                 job.may_have_run = terms.may_have_run;
--- a/src/router/control/decision/takeover.rs
+++ b/src/router/control/decision/takeover.rs
@@ -17,12 +17,12 @@
 ///
 /// # Errors
 /// The reason why the request does not run here; it may have run elsewhere.
-pub fn decide(taken: TakeoverAnswer, is_repeatable: bool) -> Result<Terms, Reason> {
+pub fn terms(answer: TakeoverAnswer, is_repeatable: bool) -> Result<Terms, Reason> {
     let rerun = |paid| Terms {
         paid,
         may_have_run: true,
     };
-    match taken {
+    match answer {
         TakeoverAnswer::Fresh => Ok(Terms {
             paid: None,
             may_have_run: false,
--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -58,7 +58,7 @@
             .is_some_and(|at| now < *at + GRANT_REQUEST_INTERVAL);
         let is_same =
             |record: &Record| matches!(record, Record::Grant { budget, .. } if *budget == key);
-        if is_recent || self.writer(key.stream()).holds(is_same) {
+        if is_recent || self.writer(key.shard_stream()).holds(is_same) {
             return;
         }
         self.grant_requested_at.insert(key, now);
@@ -67,7 +67,7 @@
             budget: key,
             ask: amount,
         };
-        self.writer(key.stream()).push(record);
+        self.writer(key.shard_stream()).push(record);
     }
 
     /// Whether the log service is unavailable: reads have failed, or an append was not read back, for too long.
@@ -112,7 +112,7 @@
                 } => *known == budget && *total >= settled,
                 _ => false,
             };
-            let writer = self.writer(budget.stream());
+            let writer = self.writer(budget.shard_stream());
             if !writer.holds(is_same) {
                 writer.push(Record::Settle { budget, settled });
             }
@@ -160,7 +160,7 @@
                 budget: key,
                 returned,
             };
-            self.writer(key.stream()).push(record);
+            self.writer(key.shard_stream()).push(record);
         }
     }
 
--- a/src/router/key.rs
+++ b/src/router/key.rs
@@ -71,7 +71,7 @@
 
 impl BudgetKey {
     /// The stream of the shard whose ledger contains the budget.
-    pub fn stream(self) -> Stream {
+    pub fn shard_stream(self) -> Stream {
         Stream::Shard(self.shard)
     }
 }
--- a/src/standin/engine.rs
+++ b/src/standin/engine.rs
@@ -131,7 +131,7 @@
             )
             .route(
                 "/v1/requests/{id}",
-                get(move |PathParams(id): PathParams<String>| async move { b.fate(&id) }),
+                get(move |PathParams(id): PathParams<String>| async move { b.request_state(&id) }),
             )
             .route(
                 "/v1/requests/{id}/stream/{from}",
@@ -145,7 +145,7 @@
                 "/v1/load/{from}",
                 get(move |PathParams(_): PathParams<usize>| async move { d.load() }),
             )
-            .route("/v1/ran", get(move || async move { e.ran() }))
+            .route("/v1/ran", get(move || async move { e.run_counts() }))
             .route(
                 "/v1/faults",
                 post(move |body: Bytes| async move { f.set_faults(&body) }),
@@ -250,12 +250,12 @@
         }
     }
 
-    fn fate(&self, id: &str) -> Response {
+    fn request_state(&self, id: &str) -> Response {
         let inner = lock(&self.inner);
         if inner.faults.forgets {
             return empty(StatusCode::NOT_FOUND);
         }
-        let fate = match inner.runs.get(id) {
+        let state = match inner.runs.get(id) {
             Some(run) => RequestState {
                 ran: true,
                 done: Instant::now() >= run.due_at(run.tokens),
@@ -267,7 +267,7 @@
                 used: 0,
             },
         };
-        json(StatusCode::OK, &fate)
+        json(StatusCode::OK, &state)
     }
 
     fn load(&self) -> Response {
@@ -275,7 +275,7 @@
         json(StatusCode::OK, &Load { running, next: 0 })
     }
 
-    fn ran(&self) -> Response {
+    fn run_counts(&self) -> Response {
         json(StatusCode::OK, &lock(&self.inner).ran)
     }
 
--- a/src/standin/service.rs
+++ b/src/standin/service.rs
@@ -71,10 +71,10 @@
             )
             .route(
                 "/v1/requests/{id}",
-                get(move |PathParams(id): PathParams<String>| async move { b.fate(&id) }),
+                get(move |PathParams(id): PathParams<String>| async move { b.request_state(&id) }),
             )
             .route("/v1/load/{from}", get(move || async move { c.load() }))
-            .route("/v1/ran", get(move || async move { d.ran() }))
+            .route("/v1/ran", get(move || async move { d.run_counts() }))
             .route(
                 "/v1/faults",
                 post(move |body: Bytes| async move { e.set_faults(&body) }),
@@ -117,14 +117,14 @@
         response
     }
 
-    fn fate(&self, id: &str) -> Response {
+    fn request_state(&self, id: &str) -> Response {
         let ran = lock(&self.inner).ran.contains_key(id);
-        let fate = RequestState {
+        let state = RequestState {
             ran,
             done: ran,
             used: 0,
         };
-        json(StatusCode::OK, &fate)
+        json(StatusCode::OK, &state)
     }
 
     fn load(&self) -> Response {
@@ -138,7 +138,7 @@
         )
     }
 
-    fn ran(&self) -> Response {
+    fn run_counts(&self) -> Response {
         json(StatusCode::OK, &lock(&self.inner).ran)
     }
 
