--- a/src/router/control/money.rs
+++ b/src/router/control/money.rs
@@ -9,14 +9,14 @@
 
 /// Time between two rounds of account maintenance for a router without peers.
 const MAINTENANCE_INTERVAL: Millis = Millis(1_000);
-/// What each healthy peer adds to it, so that the fleet's appends stay within the log's capacity.
+/// Added to [`MAINTENANCE_INTERVAL`] for each healthy peer, so that the fleet's appends stay within the log's capacity.
 const MAINTENANCE_PER_PEER: Millis = Millis(20);
 /// Shortest time between two grant requests for the same budget.
 const GRANT_REQUEST_INTERVAL: Millis = Millis(300);
 /// A grant is requested ahead of demand if the tokens held would run out within this span and one maintenance
 /// interval.
 const REFILL_HORIZON: Millis = Millis(5_000);
-/// The log counts as unavailable when it has not answered for longer than this.
+/// The log service counts as unavailable when it has not answered for longer than this.
 const LOG_SILENCE_MAX: Millis = Millis(2_000);
 
 impl State {
@@ -58,7 +58,7 @@
             .is_some_and(|at| now < *at + GRANT_REQUEST_INTERVAL);
         let is_same =
             |record: &Record| matches!(record, Record::Grant { budget, .. } if *budget == key);
-        if is_recent || self.writer(key.stream()).holds(is_same) {
+        if is_recent || self.writer(key.shard_stream()).holds(is_same) {
             return;
         }
         self.grant_requested_at.insert(key, now);
@@ -67,10 +67,10 @@
             budget: key,
             ask: amount,
         };
-        self.writer(key.stream()).push(record);
+        self.writer(key.shard_stream()).push(record);
     }
 
-    /// Whether the log is unavailable: its reads have failed, or an append was not read back, for too long.
+    /// Whether the log service is unavailable: reads have failed, or an append was not read back, for too long.
     pub(super) fn is_log_out(&self) -> bool {
         let now = self.now;
         let reads_fail = !self.log_up && now > self.log_down_since + LOG_SILENCE_MAX;
@@ -112,7 +112,7 @@
                 } => *known == budget && *total >= settled,
                 _ => false,
             };
-            let writer = self.writer(budget.stream());
+            let writer = self.writer(budget.shard_stream());
             if !writer.holds(is_same) {
                 writer.push(Record::Settle { budget, settled });
             }
@@ -160,7 +160,7 @@
                 budget: key,
                 returned,
             };
-            self.writer(key.stream()).push(record);
+            self.writer(key.shard_stream()).push(record);
         }
     }
 
