--- a/src/router/api/caller.rs
+++ b/src/router/api/caller.rs
@@ -64,13 +64,13 @@
         ))
     };
     let Some(key) = header_text(headers, header::AUTHORIZATION.as_str()) else {
-        return denied("authorization: expected 'Bearer CUSTOMER:SECRET'");
+        return denied("authorization: wanted is 'Bearer CUSTOMER:SECRET'");
     };
     let Some((name, secret)) = key
         .strip_prefix("Bearer ")
         .and_then(|key| key.split_once(':'))
     else {
-        return denied("authorization: expected 'Bearer CUSTOMER:SECRET'");
+        return denied("authorization: wanted is 'Bearer CUSTOMER:SECRET'");
     };
     let config = shared.config.load();
     // An unknown name takes the same time to reject as a wrong secret.
--- a/src/router/api/operator.rs
+++ b/src/router/api/operator.rs
@@ -26,7 +26,7 @@
         .get(header::AUTHORIZATION)
         .and_then(|value| value.to_str().ok());
     let Some(key) = key.and_then(|key| key.strip_prefix("Bearer ")) else {
-        let message = "authorization: expected 'Bearer operator:SECRET'";
+        let message = "authorization: wanted is 'Bearer operator:SECRET'";
         return Err(RequestError::new(
             StatusCode::UNAUTHORIZED,
             "no_key",
@@ -169,7 +169,7 @@
         None => RequestError::new(
             StatusCode::NOT_FOUND,
             "unknown",
-            "this router has no record of this request",
+            "this router knows no such request",
         )
         .reply(),
     }
